--- a/include/admit/admission_controller.h
+++ b/include/admit/admission_controller.h
@@ -33,7 +33,7 @@
   // before.
   std::uint32_t max_queue = 1024;
   // Whether the concurrency limit is learnt; else it is `slots`.
-  bool learn_limit = true;
+  bool adaptive_limit = true;
   // Whether an admission level is kept; else it stays at zero.
   bool use_level = true;
   // Whether priorities and deadlines order and bound the queue; else it is a
@@ -61,7 +61,7 @@
   std::uint32_t method = 0;
   // Other targets have worked for the root request already: its depth is not
   // zero.
-  bool invested = false;
+  bool is_nested = false;
   time_point deadline;
   // The owner's name for the request, handed back with events.
   std::uint64_t cookie = 0;
@@ -160,7 +160,7 @@
   // When TakeNext() should be called even if nothing else happens.
   [[nodiscard]] time_point next_wakeup() const;
   // How long a request of this importance would wait if it came now.
-  [[nodiscard]] duration Wait(priority level) const;
+  [[nodiscard]] duration EstimatedWait(priority level) const;
   [[nodiscard]] load_report Report(std::uint32_t method, time_point now) const;
   [[nodiscard]] const admission_counters& counters() const { return counters_; }
   // The level that this target sets itself, without those further down.
@@ -170,7 +170,7 @@
   [[nodiscard]] std::uint32_t queued() const { return queued_; }
 
  private:
-  enum class item_state : std::uint8_t { kFree, kQueued, kRunning, kGivenUp };
+  enum class item_state : std::uint8_t { kFree, kQueued, kRunning, kEvicted };
 
   static constexpr std::uint32_t kNone = UINT32_MAX;
 
@@ -201,7 +201,7 @@
   [[nodiscard]] std::size_t QueueOf(priority level) const;
   [[nodiscard]] admission_rank LevelFor(std::uint32_t method,
                                         time_point now) const;
-  [[nodiscard]] duration WaitAhead(std::size_t queue) const;
+  [[nodiscard]] duration QueueDelay(std::size_t queue) const;
   [[nodiscard]] bool CanFinish(const item& entry,
                                duration wait,
                                time_point now) const;
@@ -212,12 +212,12 @@
                             reason why,
                             time_point now,
                             std::uint32_t random);
-  bool MakeRoom(std::size_t queue);
-  void GiveUpLowerThan(std::size_t queue);
-  void GiveUp(std::uint32_t index, reason why);
-  void GiveUpInfeasible(time_point now);
+  bool EvictForSpace(std::size_t queue);
+  void EvictLowerThan(std::size_t queue);
+  void Evict(std::uint32_t index, reason why);
+  void EvictInfeasible(time_point now);
   [[nodiscard]] std::uint32_t PickQueued() const;
-  void EarnAssuredShare(std::size_t queue, duration work);
+  void AccrueAssuredShare(std::size_t queue, duration work);
   std::uint32_t Allocate(const admission_request& request, time_point now);
   void Release(std::uint32_t index);
   void Start(std::uint32_t index, time_point now);
@@ -232,14 +232,14 @@
   // Work that each class may start ahead of more important ones; zero for those
   // with nothing queued.
   std::array<duration, kPriorityCount> assured_{};
-  item_list given_up_;         // Not yet told by TakeNext().
+  item_list evicted_;          // Not yet told by TakeNext().
   std::uint32_t queued_ = 0;   // Items in `queues_`; at most max_queue.
   std::uint32_t running_ = 0;  // At most the limit that held when started.
   time_point next_sweep_;
   bool available_ = true;
   std::vector<service_time> service_times_;   // By method.
   std::vector<downstream_level> downstream_;  // By method.
-  service_time any_service_time_;
+  service_time overall_service_time_;
   concurrency_limit limit_;
   admission_level level_;
   admission_counters counters_;
--- a/include/admit/admission_level.h
+++ b/include/admit/admission_level.h
@@ -44,7 +44,7 @@
   void Advance(time_point now);
   void Raise(std::uint32_t excess);
   void Lower();
-  [[nodiscard]] admission_rank HighestUseful() const;
+  [[nodiscard]] admission_rank MaxUsefulLevel() const;
 
   admission_rank level_ = 0;
   double step_ = 0;  // Of the last lowering, as a part of the capacity.
@@ -54,7 +54,7 @@
   std::uint32_t finished_ = 0;
   std::uint32_t load_refusals_ = 0;
   bool idle_ = false;
-  duration least_delay_ = duration::max();
+  duration min_delay_ = duration::max();
   time_point standing_since_ = time_point::max();
   time_point window_end_;
 };
--- a/include/admit/admission_rank.h
+++ b/include/admit/admission_rank.h
@@ -35,8 +35,8 @@
 [[nodiscard]] constexpr bool IsRefusedBy(admission_rank level,
                                          priority importance,
                                          std::uint8_t ticket,
-                                         bool invested) {
-  if (invested && level <= LowestRank(priority::kCritical)) {
+                                         bool is_nested) {
+  if (is_nested && level <= LowestRank(priority::kCritical)) {
     return false;
   }
   return RankOf(importance, ticket) < level;
--- a/include/admit/concurrency_limit.h
+++ b/include/admit/concurrency_limit.h
@@ -38,12 +38,13 @@
 
   double limit_;
   std::uint32_t slots_;
-  double baseline_ = 0;      // Mean latency ratio at which nothing waits.
-  double before_lower_ = 0;  // Ratio before the last lowering; 0 if none.
-  double limit_before_ = 0;
+  double baseline_ = 0;  // Mean latency ratio at which nothing waits.
+  double ratio_before_decrease_ =
+      0;  // Ratio before the last lowering; 0 if none.
+  double limit_before_decrease_ = 0;
   double sum_ = 0;
   std::uint32_t samples_ = 0;
-  std::uint32_t most_running_ = 0;
+  std::uint32_t max_running_ = 0;
   time_point window_end_;
 };
 
--- a/include/admit/service_time.h
+++ b/include/admit/service_time.h
@@ -15,14 +15,14 @@
   // infeasible, so that nothing runs and nothing corrects it.
   [[nodiscard]] duration Mean(time_point now) const;
   // A duration that most requests stay within.
-  [[nodiscard]] duration Likely(time_point now) const;
+  [[nodiscard]] duration UpperEstimate(time_point now) const;
 
  private:
   [[nodiscard]] int Halvings(time_point now) const;
 
-  double mean_ = 0;       // Nanoseconds.
-  double deviation_ = 0;  // Nanoseconds.
-  time_point last_;       // Of the newest sample.
+  double mean_ = 0;         // Nanoseconds.
+  double deviation_ = 0;    // Nanoseconds.
+  time_point last_sample_;  // Of the newest sample.
   bool measured_ = false;
 };
 
--- a/include/retry/failures_below.h
+++ b/include/retry/downstream_failure_rate.h
@@ -1,4 +1,5 @@
-// failures_below: how large a part of the calls that a target makes fail.
+// downstream_failure_rate: how large a part of the calls that a target makes
+// fail.
 #pragma once
 
 #include <cmath>
@@ -16,38 +17,38 @@
 // calls fail often.
 //
 // Pure logic; the owner keeps one for the target beside it.
-class failures_below {
+class downstream_failure_rate {
  public:
   // From this part on requests are not repeated. With four calls each, about a
   // third of the requests then fail, and as many of their repeats would. Lost
   // answers and broken targets alone stay below it, and their requests are well
   // worth a repeat elsewhere.
-  static constexpr double kTooMany = 0.1;
+  static constexpr double kMaxRate = 0.1;
 
   // A call that the target made has ended, with all its own repeats.
   void Add(bool failed, time_point now) {
-    part_ = Part(now);
-    heard_ = now;
-    part_ += kWeight * ((failed ? 1.0 : 0.0) - part_);
+    rate_ = Rate(now);
+    updated_at_ = now;
+    rate_ += kWeight * ((failed ? 1.0 : 0.0) - rate_);
   }
 
-  [[nodiscard]] bool AreTooMany(time_point now) const {
-    return Part(now) > kTooMany;
+  [[nodiscard]] bool IsTooHigh(time_point now) const {
+    return Rate(now) > kMaxRate;
   }
 
  private:
   // Of the newest call; a target makes hundreds a second when it is busy.
   static constexpr double kWeight = 1.0 / 24;
   // Without news, half of what is known is forgotten in this time.
-  static constexpr double kFadeSeconds = 1;
+  static constexpr double kHalfLifeSeconds = 1;
 
-  [[nodiscard]] double Part(time_point now) const {
-    const double age = std::chrono::duration<double>(now - heard_).count();
-    return part_ * std::exp2(-age / kFadeSeconds);
+  [[nodiscard]] double Rate(time_point now) const {
+    const double age = std::chrono::duration<double>(now - updated_at_).count();
+    return rate_ * std::exp2(-age / kHalfLifeSeconds);
   }
 
-  double part_ = 0;  // From 0 to 1, when `heard_`.
-  time_point heard_;
+  double rate_ = 0;  // From 0 to 1, when `updated_at_`.
+  time_point updated_at_;
 };
 
 }  // namespace pistachioweir
--- a/include/retry/repeat_budget.h
+++ b/include/retry/repeat_budget.h
@@ -49,7 +49,7 @@
     std::uint32_t requests = 0;
   };
 
-  void Forget(time_point now);
+  void DropExpired(time_point now);
 
   repeat_budget_options options_;
   std::deque<slot> slots_;        // Oldest first, none older than the window.
--- a/include/retry/reserve_share.h
+++ b/include/retry/reserve_share.h
@@ -21,20 +21,20 @@
  public:
   // Of the reserve, what all daemons use together. A daemon that starts again
   // has forgotten what it spent, and may spend its part once more.
-  static constexpr double kUsed = 0.5;
+  static constexpr double kUsableFraction = 0.5;
   // After its first list a daemon waits this long for more entries. They are
   // back within two seconds of the store's return, and nothing shows at a start
   // whether there was an outage just before.
-  static constexpr milliseconds kFirstListGrows{2000};
+  static constexpr milliseconds kInitialSettleTime{2000};
 
   // `window` is that of the budget that the reserve belongs to.
   explicit reserve_share(milliseconds window) : window_(window) {}
 
   // A list of targets shows so many daemons, this one included.
-  void NoteDaemons(std::size_t count, time_point now);
+  void OnDaemonCount(std::size_t count, time_point now);
 
-  // From 0 to kUsed.
-  [[nodiscard]] double Part(time_point now);
+  // From 0 to kUsableFraction.
+  [[nodiscard]] double Fraction(time_point now);
 
  private:
   struct list_length {
@@ -42,7 +42,7 @@
     time_point until;  // When a shorter list took its place; max for the last.
   };
 
-  void Forget(time_point now);
+  void DropExpired(time_point now);
 
   const milliseconds window_;
   // Each is shorter than the one before, and ended later.
--- a/include/retry/hopeless_sends.h
+++ b/include/retry/send_feasibility.h
@@ -1,4 +1,4 @@
-// hopeless_sends: whether a request has too little time left to be sent.
+// send_feasibility: whether a request has too little time left to be sent.
 #pragma once
 
 #include <array>
@@ -17,24 +17,24 @@
 // refused.
 //
 // Pure logic; the origin keeps one for each called service.
-class hopeless_sends {
+class send_feasibility {
  public:
-  static constexpr int kPart = 2;
+  static constexpr int kShortestRunDivisor = 2;
 
   // A run of the kind ended well after so long at its target.
-  void OnServed(std::uint32_t kind, duration served, time_point now) {
+  void OnCompleted(std::uint32_t kind, duration served, time_point now) {
     shortest_[kind].Add(served, now);
   }
 
-  [[nodiscard]] bool IsHopeless(std::uint32_t kind,
-                                duration left,
-                                time_point now) {
+  [[nodiscard]] bool IsInfeasible(std::uint32_t kind,
+                                  duration left,
+                                  time_point now) {
     const auto shortest = shortest_[kind].Get(now);
-    return shortest && left < *shortest / kPart;
+    return shortest && left < *shortest / kShortestRunDivisor;
   }
 
  private:
-  std::array<recent_minimum, kind_index::kMost> shortest_;
+  std::array<recent_minimum, kind_index::kMaxKinds> shortest_;
 };
 
 }  // namespace pistachioweir
--- a/include/retry/target_wait.h
+++ b/include/retry/target_wait.h
@@ -21,13 +21,13 @@
 // would pile up here, and each would be refused later than need be. So the wait
 // is a small part of the time within which the caller wants its answer, and a
 // refusal for want of room ends it.
-inline constexpr milliseconds kLookInterval{50};
+inline constexpr milliseconds kLookupRetryInterval{50};
 // Of the latency objective. The rest is needed to be served, or to come back.
-inline constexpr int kMostWaitPart = 8;
+inline constexpr int kMaxWaitDivisor = 8;
 
 // Whether a send or a search that ended so has found nobody, as opposed to
 // somebody who has no room.
-[[nodiscard]] constexpr bool FoundNobody(reason why) {
+[[nodiscard]] constexpr bool IsTargetUnavailable(reason why) {
   return why == reason::kNoTarget || why == reason::kNotReady ||
          why == reason::kDraining || why == reason::kWrongTarget;
 }
@@ -41,15 +41,15 @@
 
 // How long to wait before looking again; nothing if the request is to be
 // refused now. For requests only of which nothing has reached a target.
-[[nodiscard]] constexpr std::optional<milliseconds> NextLook(
+[[nodiscard]] constexpr std::optional<milliseconds> NextLookupDelay(
     const target_search& search,
     time_point now) {
   const time_point end = std::min(
-      search.received + search.objective / kMostWaitPart, search.deadline);
-  if (!FoundNobody(search.why) || now + kLookInterval >= end) {
+      search.received + search.objective / kMaxWaitDivisor, search.deadline);
+  if (!IsTargetUnavailable(search.why) || now + kLookupRetryInterval >= end) {
     return std::nullopt;
   }
-  return kLookInterval;
+  return kLookupRetryInterval;
 }
 
 }  // namespace pistachioweir
--- a/include/route/balancer.h
+++ b/include/route/balancer.h
@@ -76,8 +76,8 @@
   static constexpr std::uint32_t kMax = 8;
 
   std::array<target_ref, kMax> refs{};
-  std::uint32_t count = 0;  // At most kMax.
-  std::uint32_t gone = 0;   // Of those, where nobody was.
+  std::uint32_t count = 0;        // At most kMax.
+  std::uint32_t unavailable = 0;  // Of those, where nobody was.
 };
 
 struct placement_request {
@@ -85,13 +85,13 @@
   priority level = priority::kNormal;
   std::uint8_t ticket = 0;
   // Made by a target while it serves another call: see IsRefusedBy().
-  bool invested = false;
+  bool is_nested = false;
   tried_targets tried;
   // Within which the call should end; weighs what time is worth against other
   // ends.
   milliseconds objective{1000};
   // Must not be sent again once it has failed.
-  bool once = false;
+  bool at_most_once = false;
 };
 
 // Either a target, or why there is none: kNoTarget or kOverload, with a time
@@ -146,12 +146,12 @@
   // the daemons of all targets of a service may be stopping at once.
   void SetStopping(target_ref target, bool stopping);
   // The target's load was heard of apart from an answer.
-  void NoteLoad(target_ref target, const load_report& report, time_point now);
+  void UpdateLoad(target_ref target, const load_report& report, time_point now);
 
   // Mean pressure that the usable targets told of, from 0 on; what was told
-  // longer ago than kPressureHolds counts as none.
+  // longer ago than kPressureLifetime counts as none.
   [[nodiscard]] double Pressure(time_point now) const;
-  static constexpr milliseconds kPressureHolds{500};
+  static constexpr milliseconds kPressureLifetime{500};
 
   // The present reference of a target, or nothing if it isn't listed.
   [[nodiscard]] std::optional<target_ref> RefOf(std::string_view vm) const;
@@ -170,9 +170,9 @@
  private:
   static constexpr std::uint32_t kNone = UINT32_MAX;
 
-  struct learnt_level {
+  struct reported_level {
     admission_rank level = 0;
-    time_point heard;
+    time_point received_at;
   };
 
   struct target {
@@ -185,22 +185,22 @@
     bool local = false;        // In the caller's own data centre.
     std::uint32_t in_flight = 0;
     // In flight and queued there for other callers, when last heard.
-    double others = 0;
-    double limit = 1;    // Until its load is known.
-    double latency = 0;  // Nanoseconds; recent average.
-    time_point heard;    // When `latency` was last measured.
+    double other_load = 0;
+    double limit = 1;                // Until its load is known.
+    double latency = 0;              // Nanoseconds; recent average.
+    time_point latency_measured_at;  // When `latency` was last measured.
     time_point warm_from;
     std::uint32_t failures = 0;  // In a row.
     std::uint32_t ejections = 0;
     time_point ejected_until;
     time_point next_probe;
-    std::vector<learnt_level> levels;  // By method.
+    std::vector<reported_level> levels;  // By method.
     double pressure = 0;
-    time_point pressure_heard;
+    time_point pressure_received_at;
   };
 
   // Targets whose daemons serve come first, those with stopping ones second.
-  enum class choice : std::uint8_t { kServing, kStopping };
+  enum class target_tier : std::uint8_t { kServing, kStopping };
 
   struct candidate {
     std::uint32_t index = kNone;
@@ -208,11 +208,11 @@
     double load = 0;
   };
 
-  [[nodiscard]] static bool IsSameStart(const target_info& known,
-                                        const target_info& told);
+  [[nodiscard]] static bool IsSameIncarnation(const target_info& known,
+                                              const target_info& reported);
   [[nodiscard]] bool Reachable(const target& candidate, time_point now) const;
   [[nodiscard]] bool Usable(const target& candidate,
-                            choice from,
+                            target_tier tier,
                             time_point now) const;
   [[nodiscard]] bool WasTried(const placement_request& request,
                               std::uint32_t index) const;
@@ -226,16 +226,16 @@
   [[nodiscard]] double LoadOf(const target& of, time_point now) const;
   [[nodiscard]] candidate Best(const std::vector<std::uint32_t>& group,
                                const placement_request& request,
-                               choice from,
+                               target_tier tier,
                                time_point now,
                                std::uint64_t random) const;
   [[nodiscard]] std::uint32_t Choose(const placement_request& request,
-                                     choice from,
+                                     target_tier tier,
                                      time_point now,
                                      std::uint64_t random) const;
   [[nodiscard]] std::uint32_t ChooseByExpectedEnd(
       const placement_request& request,
-      choice from,
+      target_tier tier,
       time_point now,
       std::uint64_t random) const;
   // A target that refuses calls like this one, to be asked nevertheless.
@@ -244,9 +244,9 @@
                                           bool* any);
   [[nodiscard]] double ExpectedCost(std::uint32_t index,
                                     const placement_request& request,
-                                    double common_failures,
+                                    double tolerated_failures,
                                     time_point now) const;
-  [[nodiscard]] static double Fullness(const target& of);
+  [[nodiscard]] static double Utilization(const target& of);
   void RecordFailure(target& failed, time_point now);
   static void SetLoad(target& of, const load_report& report, time_point now);
   [[nodiscard]] bool MayEject(time_point now) const;
--- a/include/route/caller_mix.h
+++ b/include/route/caller_mix.h
@@ -21,13 +21,13 @@
 class caller_mix {
  public:
   // Calls needed before anything is concluded.
-  static constexpr std::uint32_t kFewest = 20;
+  static constexpr std::uint32_t kMinCalls = 20;
   // Calls after which older ones count half, so that a route that is given to
   // other callers is noticed.
-  static constexpr std::uint32_t kMost = 1000;
+  static constexpr std::uint32_t kMaxCalls = 1000;
   // Share of the most frequent service from which on its targets make the
   // calls. With three services or more, callers outside give each a third.
-  static constexpr double kShare = 0.8;
+  static constexpr double kMinShare = 0.8;
 
   void Add(std::string_view service);
   [[nodiscard]] bool IsMadeByTargets() const;
--- a/include/route/kind_index.h
+++ b/include/route/kind_index.h
@@ -10,18 +10,18 @@
 namespace pistachioweir {
 
 // Operators rename and add routes while daemons run, so that the number of
-// names has no bound. Kinds beyond kMost share number 0, whose estimates are
-// then a mixture.
+// names has no bound. Kinds beyond kMaxKinds share number 0, whose estimates
+// are then a mixture.
 class kind_index {
  public:
-  static constexpr std::uint32_t kMost = 64;
+  static constexpr std::uint32_t kMaxKinds = 64;
 
   [[nodiscard]] std::uint32_t IndexOf(std::string_view name) {
     const auto found = indices_.find(std::string(name));
     if (found != indices_.end()) {
       return found->second;
     }
-    if (indices_.size() + 1 >= kMost) {
+    if (indices_.size() + 1 >= kMaxKinds) {
       return 0;
     }
     const auto index = static_cast<std::uint32_t>(indices_.size()) + 1;
--- a/include/route/target_estimates.h
+++ b/include/route/target_estimates.h
@@ -18,7 +18,7 @@
 class target_estimates {
  public:
   // How a run at a target ended.
-  enum class sample : std::uint8_t { kWell, kFailed };
+  enum class sample : std::uint8_t { kSucceeded, kFailed };
 
   explicit target_estimates(std::uint32_t kinds) : kinds_(kinds) {}
 
@@ -35,17 +35,17 @@
   [[nodiscard]] duration RunTime(std::uint32_t target,
                                  std::uint32_t kind) const;
   // What a run of the target's usual mixture takes.
-  [[nodiscard]] duration UsualRunTime(std::uint32_t target) const;
+  [[nodiscard]] duration MeanRunTime(std::uint32_t target) const;
   // Part of the target's runs that fail, from 0 to 1. Fades while nothing new
-  // is heard, so that a target that was avoided is tried again.
-  [[nodiscard]] double FailedPart(std::uint32_t target, time_point now) const;
+  // is updated_at, so that a target that was avoided is tried again.
+  [[nodiscard]] double FailureRate(std::uint32_t target, time_point now) const;
 
  private:
   struct target_state {
-    double speed = 1;  // Of its times, against those of all targets.
-    double usual = 0;  // Nanoseconds; zero if not measured.
-    double failed = 0;
-    time_point heard;
+    double time_factor = 1;  // Of its times, against those of all targets.
+    double mean_time = 0;    // Nanoseconds; zero if not measured.
+    double failure_rate = 0;
+    time_point updated_at;
   };
 
   struct kind_state {
--- a/src/admit/admission_controller.cc
+++ b/src/admit/admission_controller.cc
@@ -12,11 +12,11 @@
 // often, so that each gets its answer at once and not when its turn comes.
 constexpr milliseconds kSweepPeriod{5};
 // How long a level heard from further down holds without being repeated.
-constexpr milliseconds kDownstreamHolds{200};
+constexpr milliseconds kDownstreamLevelLifetime{200};
 // Retry-after: no shorter than a refusal takes to have an effect, no longer
 // than people wait for a service that has long recovered.
-constexpr milliseconds kLeastRetryAfter{20};
-constexpr milliseconds kMostRetryAfter{5000};
+constexpr milliseconds kMinRetryAfter{20};
+constexpr milliseconds kMaxRetryAfter{5000};
 // Ranks by which a level falls a second once slots are free; see
 // admission_level.
 constexpr std::int64_t kRanksPerSecond = 1000;
@@ -38,7 +38,8 @@
 }
 
 std::uint32_t admission_controller::limit() const {
-  return options_.learn_limit ? limit_.value() : std::max(1U, options_.slots);
+  return options_.adaptive_limit ? limit_.value()
+                                 : std::max(1U, options_.slots);
 }
 
 std::size_t admission_controller::QueueOf(priority level) const {
@@ -55,7 +56,7 @@
 }
 
 // Work of the same or more importance goes first; the rest gives way.
-duration admission_controller::WaitAhead(std::size_t queue) const {
+duration admission_controller::QueueDelay(std::size_t queue) const {
   duration work(0);
   for (std::size_t i = 0; i <= queue; ++i) {
     work += queues_[i].work;
@@ -70,8 +71,8 @@
   return std::min(wait, duration(static_cast<duration::rep>(own)));
 }
 
-duration admission_controller::Wait(priority level) const {
-  return queued_ == 0 ? duration(0) : WaitAhead(QueueOf(level));
+duration admission_controller::EstimatedWait(priority level) const {
+  return queued_ == 0 ? duration(0) : QueueDelay(QueueOf(level));
 }
 
 bool admission_controller::CanFinish(const item& entry,
@@ -93,7 +94,7 @@
     return Refuse(request, reason::kNotReady, now, random);
   }
   if (IsRefusedBy(LevelFor(request.method, now), request.level, request.ticket,
-                  request.invested)) {
+                  request.is_nested)) {
     return Refuse(request, reason::kOverload, now, random);
   }
   level_.OnArrival(rank, now);
@@ -107,14 +108,14 @@
             .handle = {index, items_[index].generation}};
   }
   const std::size_t queue = QueueOf(request.level);
-  const duration expected = service_times_[request.method].Likely(now);
+  const duration expected = service_times_[request.method].UpperEstimate(now);
   const bool feasible = !options_.use_deadlines ||
-                        now + WaitAhead(queue) + expected <= request.deadline;
+                        now + QueueDelay(queue) + expected <= request.deadline;
   if (!feasible) {
-    GiveUpLowerThan(queue);
+    EvictLowerThan(queue);
     return Refuse(request, reason::kDeadlineInfeasible, now, random);
   }
-  if (queued_ >= options_.max_queue && !MakeRoom(queue)) {
+  if (queued_ >= options_.max_queue && !EvictForSpace(queue)) {
     return Refuse(request, reason::kQueueFull, now, random);
   }
   const std::uint32_t index = Allocate(request, now);
@@ -132,37 +133,37 @@
     std::uint32_t random) {
   if (now >= next_sweep_) {
     next_sweep_ = now + kSweepPeriod;
-    GiveUpInfeasible(now);
+    EvictInfeasible(now);
   }
-  while (given_up_.first == kNone && queued_ > 0 && running_ < limit()) {
+  while (evicted_.first == kNone && queued_ > 0 && running_ < limit()) {
     const std::uint32_t index = PickQueued();
     item& chosen = items_[index];
     const std::size_t queue = QueueOf(chosen.request.level);
     if (options_.use_deadlines && !CanFinish(chosen, duration(0), now)) {
-      GiveUp(index, reason::kDeadlineInfeasible);
+      Evict(index, reason::kDeadlineInfeasible);
       level_.OnLoadRefusal(now);
       break;
     }
     Remove(queues_[queue], index);
     --queued_;
-    EarnAssuredShare(queue, chosen.expected);
+    AccrueAssuredShare(queue, chosen.expected);
     Start(index, now);
     return admission_event{.cookie = chosen.request.cookie,
                            .decision = {.action = admission_action::kRun,
                                         .handle = {index, chosen.generation}}};
   }
-  if (given_up_.first == kNone) {
+  if (evicted_.first == kNone) {
     if (queued_ == 0 && running_ < limit()) {
       level_.OnIdle(now);
     }
     return std::nullopt;
   }
-  const std::uint32_t index = given_up_.first;
-  const item& ended = items_[index];
-  Remove(given_up_, index);
+  const std::uint32_t index = evicted_.first;
+  const item& evicted = items_[index];
+  Remove(evicted_, index);
   const admission_event event{
-      .cookie = ended.request.cookie,
-      .decision = Refuse(ended.request, ended.why, now, random)};
+      .cookie = evicted.request.cookie,
+      .decision = Refuse(evicted.request, evicted.why, now, random)};
   Release(index);
   return event;
 }
@@ -174,18 +175,18 @@
   if (entry == nullptr || entry->state != item_state::kRunning) {
     return;
   }
-  const duration held = now - entry->started;
+  const duration elapsed = now - entry->started;
   service_time& known = service_times_[entry->request.method];
   if (report.answered) {
-    const duration own = std::max(duration(0), held - report.downstream);
-    limit_.Add(own, any_service_time_.Mean(now), running_, now);
-    any_service_time_.Add(own, now);
-    known.Add(held, now);
+    const duration own = std::max(duration(0), elapsed - report.downstream);
+    limit_.Add(own, overall_service_time_.Mean(now), running_, now);
+    overall_service_time_.Add(own, now);
+    known.Add(elapsed, now);
   }
   // Runs that were cut short took at least as long. Without them the estimate
   // is that of the lucky ones, and work is begun that can't end in time.
-  if (!report.answered && held > known.Likely(now)) {
-    known.Add(held, now);
+  if (!report.answered && elapsed > known.UpperEstimate(now)) {
+    known.Add(elapsed, now);
   }
   if (report.target_refused) {
     limit_.OnTargetRefused(running_, now);
@@ -201,8 +202,8 @@
   if (entry == nullptr) {
     return false;
   }
-  if (entry->state == item_state::kGivenUp) {
-    Remove(given_up_, handle.index);
+  if (entry->state == item_state::kEvicted) {
+    Remove(evicted_, handle.index);
   } else if (entry->state == item_state::kQueued) {
     Remove(queues_[QueueOf(entry->request.level)], handle.index);
     --queued_;
@@ -218,7 +219,8 @@
                                               admission_rank level,
                                               time_point now) {
   assert(method < downstream_.size());
-  downstream_[method] = {.level = level, .until = now + kDownstreamHolds};
+  downstream_[method] = {.level = level,
+                         .until = now + kDownstreamLevelLifetime};
 }
 
 void admission_controller::Reconfigure(std::uint32_t slots,
@@ -259,12 +261,12 @@
 milliseconds admission_controller::RetryAfter(admission_rank rank,
                                               admission_rank level,
                                               std::uint32_t random) const {
-  const duration drain = WaitAhead(kPriorityCount - 1);
+  const duration drain = QueueDelay(kPriorityCount - 1);
   const std::int64_t above = level > rank ? level - rank : 0;
   const auto fall = milliseconds(above * 1000 / kRanksPerSecond);
   const auto base =
       std::clamp(std::chrono::duration_cast<milliseconds>(drain) + fall,
-                 kLeastRetryAfter, kMostRetryAfter);
+                 kMinRetryAfter, kMaxRetryAfter);
   const auto spread = static_cast<std::int64_t>(random % 512);
   return base + milliseconds(base.count() * spread / 1024);
 }
@@ -290,10 +292,10 @@
 }
 
 // The newest of the least important goes: it has waited least.
-bool admission_controller::MakeRoom(std::size_t queue) {
+bool admission_controller::EvictForSpace(std::size_t queue) {
   for (std::size_t lowest = kPriorityCount; lowest-- > queue + 1;) {
     if (queues_[lowest].last != kNone) {
-      GiveUp(queues_[lowest].last, reason::kQueueFull);
+      Evict(queues_[lowest].last, reason::kQueueFull);
       return true;
     }
   }
@@ -302,24 +304,24 @@
 
 // A request is refused for want of capacity only after all less important
 // ones that wait have been.
-void admission_controller::GiveUpLowerThan(std::size_t queue) {
+void admission_controller::EvictLowerThan(std::size_t queue) {
   for (std::size_t lowest = kPriorityCount; lowest-- > queue + 1;) {
     while (queues_[lowest].first != kNone) {
-      GiveUp(queues_[lowest].first, reason::kOverload);
+      Evict(queues_[lowest].first, reason::kOverload);
     }
   }
 }
 
-void admission_controller::GiveUp(std::uint32_t index, reason why) {
+void admission_controller::Evict(std::uint32_t index, reason why) {
   item& entry = items_[index];
   Remove(queues_[QueueOf(entry.request.level)], index);
   --queued_;
-  entry.state = item_state::kGivenUp;
+  entry.state = item_state::kEvicted;
   entry.why = why;
-  Append(given_up_, index);
+  Append(evicted_, index);
 }
 
-void admission_controller::GiveUpInfeasible(time_point now) {
+void admission_controller::EvictInfeasible(time_point now) {
   for (const item_list& list : queues_) {
     std::uint32_t index = list.first;
     while (index != kNone) {
@@ -329,7 +331,7 @@
                                 ? CanFinish(entry, duration(0), now)
                                 : now < entry.request.deadline;
       if (!feasible) {
-        GiveUp(index, reason::kDeadlineInfeasible);
+        Evict(index, reason::kDeadlineInfeasible);
         level_.OnLoadRefusal(now);
       }
       index = next;
@@ -339,7 +341,8 @@
 
 // Started work of one class lets the less important ones that wait earn their
 // part. What is started of a class is taken off what it had earned.
-void admission_controller::EarnAssuredShare(std::size_t queue, duration work) {
+void admission_controller::AccrueAssuredShare(std::size_t queue,
+                                              duration work) {
   if (options_.assured_share <= 0) {
     return;
   }
@@ -381,7 +384,7 @@
   first_free_ = entry.next;
   entry.request = request;
   entry.arrived = now;
-  entry.expected = service_times_[request.method].Likely(now);
+  entry.expected = service_times_[request.method].UpperEstimate(now);
   entry.previous = kNone;
   entry.next = kNone;
   entry.why = reason::kNone;
@@ -403,7 +406,7 @@
   entry.started = now;
   ++running_;
   ++counters_.started;
-  level_.OnStart(WaitAhead(kPriorityCount - 1), now);
+  level_.OnStart(QueueDelay(kPriorityCount - 1), now);
 }
 
 void admission_controller::Append(item_list& list, std::uint32_t index) {
--- a/src/admit/admission_level.cc
+++ b/src/admit/admission_level.cc
@@ -12,42 +12,42 @@
 // gone. A tenth of a short deadline: a queue that short keeps slots busy
 // through the scatter of arrivals, and a longer one only adds to every latency.
 constexpr milliseconds kStandingDelay{20};
-constexpr milliseconds kGoneDelay{10};
+constexpr milliseconds kClearedDelay{10};
 // A queue to which this part of what ends is added drains by itself, and soon:
 // refusing more would leave slots idle after it.
-constexpr double kShrinking = 0.9;
+constexpr double kShrinkingRatio = 0.9;
 // A queue must have stood for this long before the first raise: a burst shorter
 // than a deadline is better queued than refused, all of it can still be served.
 constexpr milliseconds kStandingTime{100};
 // A window is judged once this many requests have ended in it, or when it has
 // lasted this long: fewer say nothing about capacity.
-constexpr std::uint32_t kLeastFinished = 16;
-constexpr milliseconds kLongestWindow{100};
+constexpr std::uint32_t kMinFinished = 16;
+constexpr milliseconds kMaxWindow{100};
 // Part of the arrivals that one judgement may refuse: a window says little.
-constexpr double kLargestCut = 0.2;
-constexpr double kSmallestCut = 0.01;
+constexpr double kMaxCut = 0.2;
+constexpr double kMinCut = 0.01;
 // A lowering lets in this part of the capacity more, by the density of demand
 // just above the level; while slots are free each lets in twice what the one
 // before did. So it takes long steps when demand has gone and short ones when
 // it is still many times the capacity.
 constexpr double kFirstStep = 0.02;
-constexpr double kLargestStep = 0.5;
-constexpr admission_rank kMostRanksPerStep = 64;
+constexpr double kMaxStep = 0.5;
+constexpr admission_rank kMaxRanksPerStep = 64;
 // The last rank is never refused by level.
-constexpr admission_rank kHighestLevel = kRankCount - 1;
+constexpr admission_rank kMaxLevel = kRankCount - 1;
 
 }  // namespace
 
 void admission_level::OnArrival(admission_rank rank, time_point now) {
   Advance(now);
-  ++arrivals_[std::min(rank, kHighestLevel) / kRanksPerBin];
+  ++arrivals_[std::min(rank, kMaxLevel) / kRanksPerBin];
   ++arrived_;
 }
 
 void admission_level::OnStart(duration delay, time_point now) {
   Advance(now);
   ++started_;
-  least_delay_ = std::min(least_delay_, delay);
+  min_delay_ = std::min(min_delay_, delay);
 }
 
 void admission_level::OnFinish(time_point now) {
@@ -66,30 +66,31 @@
 }
 
 void admission_level::RaiseTo(admission_rank level) {
-  level_ = std::max(level_, std::min(level, kHighestLevel));
+  level_ = std::max(level_, std::min(level, kMaxLevel));
   step_ = 0;
 }
 
 void admission_level::Advance(time_point now) {
-  if (now < window_end_ || (finished_ < kLeastFinished &&
-                            now < window_end_ + kLongestWindow - kWindow)) {
+  if (now < window_end_ ||
+      (finished_ < kMinFinished && now < window_end_ + kMaxWindow - kWindow)) {
     return;
   }
   const bool standing =
-      load_refusals_ > 0 || (started_ > 0 && least_delay_ > kStandingDelay);
+      load_refusals_ > 0 || (started_ > 0 && min_delay_ > kStandingDelay);
   if (!standing) {
     standing_since_ = time_point::max();
   } else if (standing_since_ == time_point::max()) {
     standing_since_ = now;
   }
-  const bool shrinking = arrived_ < kShrinking * finished_;
-  const bool gone = started_ == 0 || least_delay_ < kGoneDelay;
+  const bool shrinking = arrived_ < kShrinkingRatio * finished_;
+  const bool cleared = started_ == 0 || min_delay_ < kClearedDelay;
   if (standing) {
-    const bool lasts = level_ > 0 || now - standing_since_ >= kStandingTime;
-    if (lasts && !shrinking) {
+    const bool persistent =
+        level_ > 0 || now - standing_since_ >= kStandingTime;
+    if (persistent && !shrinking) {
       Raise(arrived_ > finished_ ? arrived_ - finished_ : 0);
     }
-  } else if (shrinking || gone) {
+  } else if (shrinking || cleared) {
     Lower();
   }
   arrivals_.fill(0);
@@ -98,7 +99,7 @@
   finished_ = 0;
   load_refusals_ = 0;
   idle_ = false;
-  least_delay_ = duration::max();
+  min_delay_ = duration::max();
   window_end_ = now + kWindow;
 }
 
@@ -110,7 +111,7 @@
   }
   const admission_rank before = level_;
   const double share = static_cast<double>(excess) / arrived_;
-  const double cut = std::clamp(share, kSmallestCut, kLargestCut);
+  const double cut = std::clamp(share, kMinCut, kMaxCut);
   auto left = static_cast<std::uint32_t>(cut * arrived_) + 1;
   for (std::size_t bin = 0; bin < kBins; ++bin) {
     if (arrivals_[bin] >= left) {
@@ -120,29 +121,29 @@
     }
     left -= arrivals_[bin];
   }
-  level_ = std::max(before, std::min(level_, HighestUseful()));
+  level_ = std::max(before, std::min(level_, MaxUsefulLevel()));
 }
 
 // Critical requests are refused by level only if they alone are more than what
 // ends. Else a cut meant for the others would reach them, since the others are
 // refused at the entrance already and few of them arrive.
-admission_rank admission_level::HighestUseful() const {
+admission_rank admission_level::MaxUsefulLevel() const {
   const auto* const first =
       arrivals_.begin() + LowestRank(priority::kCritical) / kRanksPerBin;
   const auto critical = std::accumulate(first, arrivals_.end(), 0U);
-  return critical > finished_ ? kHighestLevel : LowestRank(priority::kCritical);
+  return critical > finished_ ? kMaxLevel : LowestRank(priority::kCritical);
 }
 
 void admission_level::Lower() {
   if (level_ == 0) {
     return;
   }
-  step_ = idle_ ? std::clamp(step_ * 2, kFirstStep, kLargestStep) : kFirstStep;
+  step_ = idle_ ? std::clamp(step_ * 2, kFirstStep, kMaxStep) : kFirstStep;
   const double density = static_cast<double>(arrived_) / (kRankCount - level_);
   const double ranks =
-      density > 0 ? step_ * finished_ / density : kMostRanksPerStep;
+      density > 0 ? step_ * finished_ / density : kMaxRanksPerStep;
   level_ -= std::min(level_, std::clamp(static_cast<admission_rank>(ranks), 1U,
-                                        kMostRanksPerStep));
+                                        kMaxRanksPerStep));
 }
 
 }  // namespace pistachioweir
--- a/src/admit/concurrency_limit.cc
+++ b/src/admit/concurrency_limit.cc
@@ -10,16 +10,16 @@
 
 // Short enough to react within a deadline or two, long enough for a mean.
 constexpr milliseconds kWindow{50};
-constexpr std::uint32_t kLeastSamples = 16;
+constexpr std::uint32_t kMinSamples = 16;
 // Latency this far above the baseline may be waiting inside the target;
 // ordinary scatter of a window's mean stays below.
-constexpr double kSuspicious = 1.5;
-constexpr double kLowering = 0.8;
+constexpr double kQueueingRatio = 1.5;
+constexpr double kDecreaseFactor = 0.8;
 // A lowering by a fifth that was right lowers latency by a fifth; half of that
 // counts as a proof, a tenth of it as noise.
-constexpr double kProof = 0.93;
+constexpr double kConfirmRatio = 0.93;
 // The baseline follows the measured ratio upwards slowly, downwards at once.
-constexpr double kBaselineRise = 0.02;
+constexpr double kBaselineRiseWeight = 0.02;
 
 }  // namespace
 
@@ -31,14 +31,14 @@
 }
 
 void concurrency_limit::SetSlots(std::uint32_t slots) {
-  const bool was_full = limit_ >= slots_;
+  const bool was_at_maximum = limit_ >= slots_;
   slots_ = std::max(1U, slots);
-  limit_ = was_full ? slots_ : std::min<double>(limit_, slots_);
+  limit_ = was_at_maximum ? slots_ : std::min<double>(limit_, slots_);
 }
 
 void concurrency_limit::OnTargetRefused(std::uint32_t running, time_point now) {
   limit_ = std::max(1.0, std::min(limit_, running - 1.0));
-  before_lower_ = 0;
+  ratio_before_decrease_ = 0;
   window_end_ = now + kWindow;
   sum_ = 0;
   samples_ = 0;
@@ -54,36 +54,37 @@
   sum_ += static_cast<double>(latency.count()) /
           static_cast<double>(expected.count());
   ++samples_;
-  most_running_ = std::max(most_running_, running);
-  if (now >= window_end_ && samples_ >= kLeastSamples) {
+  max_running_ = std::max(max_running_, running);
+  if (now >= window_end_ && samples_ >= kMinSamples) {
     EndWindow(now);
   }
 }
 
 void concurrency_limit::EndWindow(time_point now) {
   const double ratio = sum_ / samples_;
-  const bool used = most_running_ + 1 >= value();
+  const bool used = max_running_ + 1 >= value();
   sum_ = 0;
   samples_ = 0;
-  most_running_ = 0;
+  max_running_ = 0;
   window_end_ = now + kWindow;
   if (baseline_ == 0 || ratio < baseline_) {
     baseline_ = ratio;
   } else {
-    baseline_ += kBaselineRise * (ratio - baseline_);
+    baseline_ += kBaselineRiseWeight * (ratio - baseline_);
   }
-  if (before_lower_ > 0 && ratio > before_lower_ * kProof) {
+  if (ratio_before_decrease_ > 0 &&
+      ratio > ratio_before_decrease_ * kConfirmRatio) {
     // Lower concurrency didn't help: the work itself has become slower.
-    limit_ = limit_before_;
+    limit_ = limit_before_decrease_;
     baseline_ = ratio;
-    before_lower_ = 0;
+    ratio_before_decrease_ = 0;
     return;
   }
-  before_lower_ = 0;
-  if (used && ratio > baseline_ * kSuspicious) {
-    before_lower_ = ratio;
-    limit_before_ = limit_;
-    limit_ = std::max(1.0, limit_ * kLowering);
+  ratio_before_decrease_ = 0;
+  if (used && ratio > baseline_ * kQueueingRatio) {
+    ratio_before_decrease_ = ratio;
+    limit_before_decrease_ = limit_;
+    limit_ = std::max(1.0, limit_ * kDecreaseFactor);
   } else if (used) {
     limit_ = std::min<double>(slots_, limit_ + std::sqrt(limit_));
   }
--- a/src/admit/service_time.cc
+++ b/src/admit/service_time.cc
@@ -12,8 +12,8 @@
 // target ends in a fraction of a short deadline.
 constexpr double kWeight = 1.0 / 16;
 // Without a sample for this long the estimate is doubted.
-constexpr milliseconds kHalving{100};
-constexpr int kMostHalvings = 40;
+constexpr milliseconds kHalvingPeriod{100};
+constexpr int kMaxHalvings = 40;
 
 }  // namespace
 
@@ -27,15 +27,15 @@
     deviation_ += kWeight * (std::abs(value - mean_) - deviation_);
     mean_ += kWeight * (value - mean_);
   }
-  last_ = now;
+  last_sample_ = now;
 }
 
 int service_time::Halvings(time_point now) const {
-  if (now <= last_) {
+  if (now <= last_sample_) {
     return 0;
   }
-  const auto halvings = (now - last_) / kHalving;
-  return static_cast<int>(std::min<std::int64_t>(halvings, kMostHalvings));
+  const auto halvings = (now - last_sample_) / kHalvingPeriod;
+  return static_cast<int>(std::min<std::int64_t>(halvings, kMaxHalvings));
 }
 
 duration service_time::Mean(time_point now) const {
@@ -46,13 +46,13 @@
       static_cast<duration::rep>(std::ldexp(mean_, -Halvings(now))));
 }
 
-duration service_time::Likely(time_point now) const {
+duration service_time::UpperEstimate(time_point now) const {
   if (!measured_) {
     return duration(0);
   }
-  const double likely = mean_ + deviation_;
+  const double upper = mean_ + deviation_;
   return duration(
-      static_cast<duration::rep>(std::ldexp(likely, -Halvings(now))));
+      static_cast<duration::rep>(std::ldexp(upper, -Halvings(now))));
 }
 
 }  // namespace pistachioweir
--- a/src/daemon/inbound_role.cc
+++ b/src/daemon/inbound_role.cc
@@ -179,7 +179,7 @@
   const admission_request request{.level = offered->request.level,
                                   .ticket = offered->request.ticket,
                                   .method = offered->method,
-                                  .invested = offered->request.depth > 0,
+                                  .is_nested = offered->request.depth > 0,
                                   .deadline = offered->deadline,
                                   .cookie = offered->id};
   const admission_decision decision =
--- a/src/daemon/outbound_role.cc
+++ b/src/daemon/outbound_role.cc
@@ -230,7 +230,7 @@
   placement_request wanted{.method = request.method,
                            .level = request.request.level,
                            .ticket = request.request.ticket,
-                           .invested = request.request.depth > 0};
+                           .is_nested = request.request.depth > 0};
   const auto route = RouteTo(request.request.service);
   const time_point now = monotonic_clock::now();
   const std::lock_guard lock(route->mutex);
@@ -399,7 +399,7 @@
     placement_request wanted{.method = failed.request.method,
                              .level = failed.request.request.level,
                              .ticket = failed.request.request.ticket,
-                             .invested = failed.request.request.depth > 0};
+                             .is_nested = failed.request.request.depth > 0};
     wanted.tried.count = static_cast<std::uint32_t>(
         std::min<std::size_t>(failed.tried.size(), tried_targets::kMax));
     if (failed.credit.available() == 0 ||
--- a/src/forward/executor.cc
+++ b/src/forward/executor.cc
@@ -73,9 +73,9 @@
       // What a run takes includes the calls that the target makes meanwhile, so
       // that a slow service below would lower this target's limit.
       admission_({.slots = 1,
-                  .methods = kind_index::kMost,
+                  .methods = kind_index::kMaxKinds,
                   .max_queue = kMaxQueue,
-                  .learn_limit = false,
+                  .adaptive_limit = false,
                   // Levels refuse a share of each kind, calls of targets too,
                   // whose requests are then lost whole.
                   .use_level = false,
@@ -85,7 +85,7 @@
 void executor::SetSlots(std::uint32_t slots) {
   slots_known_ = true;
   const auto used = static_cast<std::uint32_t>(kUsedSlots * slots);
-  admission_.Reconfigure(std::max(1U, used), kind_index::kMost);
+  admission_.Reconfigure(std::max(1U, used), kind_index::kMaxKinds);
   CarryEvents();
 }
 
@@ -395,8 +395,8 @@
   NoteSuspects(served, result, now);
   if (answered) {
     vouching_.OnAnswer(result.closing, now);
-    by_kind_[served.kind].waste.OnEnd(!IsServerError(result.response.status),
-                                      now);
+    by_kind_[served.kind].waste.OnResult(!IsServerError(result.response.status),
+                                         now);
   }
   log_.Add(
       id, served.call.request_id, "run_ended",
@@ -410,7 +410,7 @@
   answer.served = ToMicroseconds(now - served.started);
   answer.failed_below = answer.kind == outcome_kind::kCompleted &&
                         IsServerError(answer.response.status) &&
-                        below_.AreTooMany(now);
+                        below_.IsTooHigh(now);
   Answer(id, std::move(answer));
   CarryEvents();
 }
--- a/src/forward/executor.h
+++ b/src/forward/executor.h
@@ -16,15 +16,15 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 
+#include "include/admit/adaptive_throttle.h"
 #include "include/admit/admission_controller.h"
-#include "include/admit/waste_guard.h"
 #include "include/base/ids.h"
 #include "include/base/recent_extreme.h"
 #include "include/base/time.h"
 #include "include/forward/target_vouching.h"
 #include "include/forward/view_state.h"
 #include "include/quarantine/crash_suspects.h"
-#include "include/retry/failures_below.h"
+#include "include/retry/downstream_failure_rate.h"
 #include "include/route/caller_mix.h"
 #include "include/route/kind_index.h"
 #include "src/forward/suspect_sharing.h"
@@ -171,7 +171,7 @@
 
   // What is learnt of one kind of work.
   struct kind_state {
-    waste_guard waste;
+    adaptive_throttle waste;
     caller_mix callers;
     // Of the last call of the kind.
     priority level = priority::kNormal;
@@ -217,9 +217,9 @@
   bool wakeup_armed_ = false;
   admission_controller admission_;
   kind_index kinds_;
-  std::array<kind_state, kind_index::kMost> by_kind_;
+  std::array<kind_state, kind_index::kMaxKinds> by_kind_;
   std::unordered_map<std::string, downstream_service> downstream_;
-  failures_below below_;
+  downstream_failure_rate below_;
   call_map calls_;
   std::uint64_t next_id_ = 1;
   time_point target_down_until_;
--- a/src/forward/executor_reports.cc
+++ b/src/forward/executor_reports.cc
@@ -60,7 +60,8 @@
         kind.objective <= milliseconds(0) || !kind.callers.IsMadeByTargets()) {
       continue;
     }
-    const std::chrono::duration<double> wait = admission_.Wait(kind.level);
+    const std::chrono::duration<double> wait =
+        admission_.EstimatedWait(kind.level);
     const std::chrono::duration<double> objective = kind.objective;
     most = std::max(most, wait / (kHalf * objective));
   }
--- a/src/forward/origin.cc
+++ b/src/forward/origin.cc
@@ -140,13 +140,14 @@
 
   const milliseconds timeout = TimeoutOf(*placed);
   placed->deadline = placed->call.received + timeout;
-  placed->placing = {.method = state.kinds.IndexOf(matched.name),
-                     .level = PriorityOfRank(placed->rank),
-                     .ticket = static_cast<std::uint8_t>(RandomBits32()),
-                     .objective = matched.latency_objective > milliseconds(0)
-                                      ? matched.latency_objective
-                                      : timeout,
-                     .once = matched.repeats == repeat_policy::kAtMostOnce};
+  placed->placing = {
+      .method = state.kinds.IndexOf(matched.name),
+      .level = PriorityOfRank(placed->rank),
+      .ticket = static_cast<std::uint8_t>(RandomBits32()),
+      .objective = matched.latency_objective > milliseconds(0)
+                       ? matched.latency_objective
+                       : timeout,
+      .at_most_once = matched.repeats == repeat_policy::kAtMostOnce};
   log_.Add(id, name, "routed",
            {{.name = "route", .value = matched.name},
             {.name = "service", .value = placed->service},
@@ -169,8 +170,8 @@
 
 bool origin::IsHopeless(const placed_call& call, time_point now) {
   return StateOf(call.service)
-      .hopeless.IsHopeless(call.placing.method,
-                           std::min(call.deadline, answer_by_) - now, now);
+      .hopeless.IsInfeasible(call.placing.method,
+                             std::min(call.deadline, answer_by_) - now, now);
 }
 
 // A key may have been withdrawn while its request waited.
@@ -302,7 +303,7 @@
   if (answer.answer.kind == outcome_kind::kCompleted &&
       !IsServerError(answer.answer.response.status)) {
     StateOf(call.service)
-        .hopeless.OnServed(call.placing.method, answer.answer.served, now);
+        .hopeless.OnCompleted(call.placing.method, answer.answer.served, now);
   }
   if (answer.answer.by_targets) {
     call.by_target = true;
@@ -323,7 +324,7 @@
     call.needed += answer.answer.queued + answer.answer.served;
   }
   if (NobodyThere(answer)) {
-    ++call.placing.tried.gone;
+    ++call.placing.tried.unavailable;
   }
   if (answer.answer.reached_target ||
       answer.answer.kind == outcome_kind::kUnknown) {
@@ -388,11 +389,11 @@
   const placed_call& call = *calls_.at(id);
   const bool nothing_sent = call.reached == 0 && !call.may_have_run;
   const auto pause = nothing_sent
-                         ? NextLook({.received = call.call.received,
-                                     .deadline = call.deadline,
-                                     .objective = call.placing.objective,
-                                     .why = call.why},
-                                    monotonic_clock::now())
+                         ? NextLookupDelay({.received = call.call.received,
+                                            .deadline = call.deadline,
+                                            .objective = call.placing.objective,
+                                            .why = call.why},
+                                           monotonic_clock::now())
                          : std::nullopt;
   if (pause) {
     LookAgainIn(id, *pause);
--- a/src/forward/origin.h
+++ b/src/forward/origin.h
@@ -24,9 +24,9 @@
 #include "include/forward/service_view.h"
 #include "include/organisation/key_check.h"
 #include "include/quota/quota_ledger.h"
-#include "include/retry/hopeless_sends.h"
 #include "include/retry/repeat_budget.h"
 #include "include/retry/reserve_share.h"
+#include "include/retry/send_feasibility.h"
 #include "include/route/balancer.h"
 #include "include/route/kind_index.h"
 #include "include/route/weighted_split.h"
@@ -171,7 +171,7 @@
 
     balancer targets;
     repeat_budget repeats;
-    hopeless_sends hopeless;
+    send_feasibility hopeless;
     kind_index kinds;
   };
 
--- a/src/forward/origin_links.cc
+++ b/src/forward/origin_links.cc
@@ -67,7 +67,7 @@
           [this, ip](const load_report& load) {
             const time_point now = monotonic_clock::now();
             ForTargetsAt(ip, [&](balancer& targets, target_ref target) {
-              targets.NoteLoad(target, load, now);
+              targets.UpdateLoad(target, load, now);
             });
           },
       .on_report =
--- a/src/forward/origin_views.cc
+++ b/src/forward/origin_views.cc
@@ -55,7 +55,7 @@
          .warm_up_left = target.warm_up_left,
          .slots = target.slots});
   }
-  reserve_share_.NoteDaemons(ips.size(), now);
+  reserve_share_.OnDaemonCount(ips.size(), now);
   ShareReserve(now);
   for (auto& [service, state] : services_) {
     by_service.try_emplace(service);
@@ -75,7 +75,7 @@
       .try_emplace(service,
                    balancer_options{.data_centre = options_.data_centre,
                                     .policy = placement_policy::kExpectedEnd,
-                                    .methods = kind_index::kMost,
+                                    .methods = kind_index::kMaxKinds,
                                     .max_tries = kMaxSends},
                    RepeatOptions(monotonic_clock::now()))
       .first->second;
@@ -84,7 +84,7 @@
 repeat_budget_options origin::RepeatOptions(time_point now) {
   return {.window = options_.repeat_window,
           .ratio = options_.repeat_ratio,
-          .reserve = options_.repeat_reserve * reserve_share_.Part(now)};
+          .reserve = options_.repeat_reserve * reserve_share_.Fraction(now)};
 }
 
 // The part changes with the list of daemons, and with time after that.
--- a/src/retry/repeat_budget.cc
+++ b/src/retry/repeat_budget.cc
@@ -3,7 +3,7 @@
 
 namespace pistachioweir {
 
-void repeat_budget::Forget(time_point now) {
+void repeat_budget::DropExpired(time_point now) {
   const time_point oldest = now - options_.window;
   while (!slots_.empty() && slots_.front().begin < oldest) {
     requests_ -= slots_.front().requests;
@@ -15,7 +15,7 @@
 }
 
 void repeat_budget::OnRequest(time_point now) {
-  Forget(now);
+  DropExpired(now);
   const duration width = options_.window / kSlots;
   if (slots_.empty() || now - slots_.back().begin >= width) {
     slots_.push_back({.begin = now});
@@ -25,7 +25,7 @@
 }
 
 bool repeat_budget::TrySpend(time_point now) {
-  Forget(now);
+  DropExpired(now);
   const double allowed =
       options_.reserve + options_.ratio * static_cast<double>(requests_);
   if (static_cast<double>(spent_.size() + 1) > allowed) {
@@ -36,7 +36,7 @@
 }
 
 std::size_t repeat_budget::spent(time_point now) {
-  Forget(now);
+  DropExpired(now);
   return spent_.size();
 }
 
--- a/src/retry/reserve_share.cc
+++ b/src/retry/reserve_share.cc
@@ -5,14 +5,14 @@
 
 namespace pistachioweir {
 
-void reserve_share::Forget(time_point now) {
+void reserve_share::DropExpired(time_point now) {
   while (!longest_.empty() && longest_.front().until != time_point::max() &&
          longest_.front().until < now - window_) {
     longest_.pop_front();
   }
 }
 
-void reserve_share::NoteDaemons(std::size_t count, time_point now) {
+void reserve_share::OnDaemonCount(std::size_t count, time_point now) {
   if (longest_.empty()) {
     first_ = now;
   } else {
@@ -22,17 +22,17 @@
     longest_.pop_back();
   }
   longest_.push_back({.daemons = count, .until = time_point::max()});
-  Forget(now);
+  DropExpired(now);
 }
 
-double reserve_share::Part(time_point now) {
-  if (longest_.empty() || now - first_ < kFirstListGrows) {
+double reserve_share::Fraction(time_point now) {
+  if (longest_.empty() || now - first_ < kInitialSettleTime) {
     return 0;
   }
-  Forget(now);
+  DropExpired(now);
   const std::size_t daemons =
       std::max<std::size_t>(1, longest_.front().daemons);
-  return kUsed / static_cast<double>(daemons);
+  return kUsableFraction / static_cast<double>(daemons);
 }
 
 }  // namespace pistachioweir
--- a/src/route/balancer.cc
+++ b/src/route/balancer.cc
@@ -19,27 +19,27 @@
 // may give two.
 constexpr std::uint32_t kFailuresToEject = 3;
 constexpr milliseconds kFirstEjection{200};
-constexpr std::uint32_t kMostDoublings = 5;
+constexpr std::uint32_t kMaxDoublings = 5;
 // Of the targets, how many may be ejected at a time: a caller whose own
 // network is bad would else empty the set and refuse everything.
-constexpr std::uint32_t kEjectableShare = 2;
+constexpr std::uint32_t kMaxEjectedDivisor = 2;
 // A learnt level that isn't repeated falls this fast, in ranks a second, as the
 // target's own does when it has free slots.
-constexpr std::int64_t kLevelFallPerSecond = 1000;
+constexpr std::int64_t kLevelDecayPerSecond = 1000;
 // A refusing target is asked once in this while, so that a level that has
-// fallen is noticed while everything is refused at the entrance.
+// decayed is noticed while everything is refused at the entrance.
 constexpr milliseconds kProbePeriod{50};
 // Nanoseconds; keeps a target without answers comparable by its load.
-constexpr double kLeastLatency = 1e6;
+constexpr double kMinLatency = 1e6;
 // Share of its limit up to which a target takes a call without making it wait.
-constexpr double kKnee = 0.75;
+constexpr double kKneeLoad = 0.75;
 // Another data centre is chosen if a call is expected to take less than this
 // part of the time there, its round trip included. Traffic between data centres
 // is kept for when it clearly helps.
-constexpr double kOverflow = 0.9;
+constexpr double kSpilloverRatio = 0.9;
 // Targets compared when there are many: two for the power of two choices, the
 // rest only if those refuse.
-constexpr std::uint32_t kMostLooks = 6;
+constexpr std::uint32_t kMaxCandidates = 6;
 constexpr milliseconds kEntranceRetryAfter{50};
 
 }  // namespace
@@ -62,20 +62,22 @@
 
 // A VM that comes back under its old name is not the target that was leaving or
 // failing. Without this it would get no calls until its name left the list.
-bool balancer::IsSameStart(const target_info& known, const target_info& told) {
+bool balancer::IsSameIncarnation(const target_info& known,
+                                 const target_info& reported) {
   const bool restarted = known.incarnation != incarnation_id{} &&
-                         told.incarnation != incarnation_id{} &&
-                         known.incarnation != told.incarnation;
-  return known.vm == told.vm && !restarted;
+                         reported.incarnation != incarnation_id{} &&
+                         known.incarnation != reported.incarnation;
+  return known.vm == reported.vm && !restarted;
 }
 
 void balancer::SetTargets(const std::vector<target_info>& targets,
                           time_point now) {
   const bool first_list = listed_ == 0;
   for (target& known : targets_) {
-    const bool kept = std::ranges::any_of(
-        targets,
-        [&](const target_info& told) { return IsSameStart(known.info, told); });
+    const bool kept =
+        std::ranges::any_of(targets, [&](const target_info& reported) {
+          return IsSameIncarnation(known.info, reported);
+        });
     if (known.listed && !kept) {
       known.listed = false;
       ++known.generation;
@@ -83,38 +85,38 @@
     }
   }
   for (const target_info& info : targets) {
-    auto place = std::ranges::find_if(targets_, [&](const target& t) {
+    auto entry = std::ranges::find_if(targets_, [&](const target& t) {
       return t.listed && t.info.vm == info.vm;
     });
-    if (place == targets_.end()) {
-      place = std::ranges::find_if(targets_,
+    if (entry == targets_.end()) {
+      entry = std::ranges::find_if(targets_,
                                    [](const target& t) { return !t.listed; });
-      if (place == targets_.end()) {
+      if (entry == targets_.end()) {
         targets_.emplace_back();
-        place = targets_.end() - 1;
+        entry = targets_.end() - 1;
       }
-      const std::uint32_t generation = place->generation;
-      *place = target{};
-      place->generation = generation;
-      place->listed = true;
-      place->levels.resize(options_.methods);
-      place->limit = std::max(1U, info.slots);
+      const std::uint32_t generation = entry->generation;
+      *entry = target{};
+      entry->generation = generation;
+      entry->listed = true;
+      entry->levels.resize(options_.methods);
+      entry->limit = std::max(1U, info.slots);
       ++listed_;
       // On the first list nothing is known: all are taken as warm.
       const bool cold = info.cold || !first_list;
-      place->warm_from = cold ? now + kSlowStart : now;
+      entry->warm_from = cold ? now + kSlowStart : now;
       if (info.warm_up_left > milliseconds(0)) {
-        place->warm_from = now + info.warm_up_left;
+        entry->warm_from = now + info.warm_up_left;
       }
-      estimates_.Reset(static_cast<std::uint32_t>(place - targets_.begin()));
+      estimates_.Reset(static_cast<std::uint32_t>(entry - targets_.begin()));
     }
-    const incarnation_id known = place->info.incarnation;
-    place->info = info;
+    const incarnation_id known = entry->info.incarnation;
+    entry->info = info;
     if (info.incarnation == incarnation_id{}) {
-      place->info.incarnation = known;
+      entry->info.incarnation = known;
     }
-    place->leaving = place->leaving || info.leaving;
-    place->local = info.data_centre == options_.data_centre;
+    entry->leaving = entry->leaving || info.leaving;
+    entry->local = info.data_centre == options_.data_centre;
   }
   all_.clear();
   local_.clear();
@@ -145,13 +147,13 @@
   }
 }
 
-void balancer::NoteLoad(target_ref ref,
-                        const load_report& report,
-                        time_point now) {
+void balancer::UpdateLoad(target_ref ref,
+                          const load_report& report,
+                          time_point now) {
   if (target* const found = Find(ref)) {
     SetLoad(*found, report, now);
-    for (learnt_level& level : found->levels) {
-      level = {.level = report.admission_level, .heard = now};
+    for (reported_level& level : found->levels) {
+      level = {.level = report.admission_level, .received_at = now};
     }
   }
 }
@@ -164,7 +166,8 @@
       continue;
     }
     ++count;
-    sum += now - each.pressure_heard < kPressureHolds ? each.pressure : 0;
+    sum +=
+        now - each.pressure_received_at < kPressureLifetime ? each.pressure : 0;
   }
   return count == 0 ? 0 : sum / count;
 }
@@ -172,9 +175,9 @@
 void balancer::SetLoad(target& of, const load_report& report, time_point now) {
   constexpr double kThousandths = 1000;
   of.pressure = report.pressure / kThousandths;
-  of.pressure_heard = now;
+  of.pressure_received_at = now;
   const double there = report.in_flight + report.queued;
-  of.others = std::max(0.0, there - of.in_flight);
+  of.other_load = std::max(0.0, there - of.in_flight);
   of.limit = report.limit;
 }
 
@@ -193,10 +196,10 @@
 }
 
 bool balancer::Usable(const target& candidate,
-                      choice from,
+                      target_tier tier,
                       time_point now) const {
   return Reachable(candidate, now) &&
-         candidate.stopping == (from == choice::kStopping);
+         candidate.stopping == (tier == target_tier::kStopping);
 }
 
 std::uint32_t balancer::usable(time_point now) const {
@@ -217,15 +220,16 @@
   if (!options_.use_levels || method >= candidate.levels.size()) {
     return 0;
   }
-  const learnt_level& known = candidate.levels[method];
-  const auto age = std::chrono::duration_cast<milliseconds>(now - known.heard);
-  const auto fallen = static_cast<admission_rank>(std::clamp<std::int64_t>(
-      age.count() * kLevelFallPerSecond / 1000, 0, kRankCount));
-  return known.level > fallen ? known.level - fallen : 0;
+  const reported_level& known = candidate.levels[method];
+  const auto age =
+      std::chrono::duration_cast<milliseconds>(now - known.received_at);
+  const auto decayed = static_cast<admission_rank>(std::clamp<std::int64_t>(
+      age.count() * kLevelDecayPerSecond / 1000, 0, kRankCount));
+  return known.level > decayed ? known.level - decayed : 0;
 }
 
 // Critical requests are not refused by hearsay: a level learnt a moment ago may
-// have fallen, and then this one would be refused while a target takes less
+// have decayed, and then this one would be refused while a target takes less
 // important ones. They ask each target, within the bound on tries.
 bool balancer::Refuses(const target& candidate,
                        const placement_request& request,
@@ -234,14 +238,15 @@
   if (request.level == priority::kCritical) {
     return level >= kRankCount;
   }
-  return IsRefusedBy(level, request.level, request.ticket, request.invested);
+  return IsRefusedBy(level, request.level, request.ticket, request.is_nested);
 }
 
 // A target that isn't used has no new answers: the old ones are doubted more
 // and more, or a target that was slow once would never be asked again.
 double balancer::LatencyOf(const target& of, time_point now) const {
-  const double age = std::chrono::duration<double>(now - of.heard).count();
-  return kLeastLatency + of.latency * std::exp2(-std::max(0.0, age));
+  const double age =
+      std::chrono::duration<double>(now - of.latency_measured_at).count();
+  return kMinLatency + of.latency * std::exp2(-std::max(0.0, age));
 }
 
 // How full the target would be with one more call, against what it can run.
@@ -252,12 +257,12 @@
                         std::chrono::duration<double>(kSlowStart);
     capacity *= std::max(kColdShare, 1.0 - left);
   }
-  return (of.in_flight + of.others + 1) / capacity;
+  return (of.in_flight + of.other_load + 1) / capacity;
 }
 
 balancer::candidate balancer::Best(const std::vector<std::uint32_t>& group,
                                    const placement_request& request,
-                                   choice from,
+                                   target_tier tier,
                                    time_point now,
                                    std::uint64_t random) const {
   const auto size = static_cast<std::uint32_t>(group.size());
@@ -265,7 +270,7 @@
   if (size == 0) {
     return best;
   }
-  const std::uint32_t enough =
+  const std::uint32_t wanted =
       options_.policy == placement_policy::kRandom ? 1 : 2;
   const auto start = static_cast<std::uint32_t>((random & UINT32_MAX) % size);
   // Two different places are looked at, the ones after them only if those
@@ -273,19 +278,19 @@
   const auto second =
       size < 2 ? 0
                : 1 + static_cast<std::uint32_t>((random >> 32) % (size - 1));
-  const std::uint32_t looks = std::min(size, kMostLooks);
+  const std::uint32_t candidates = std::min(size, kMaxCandidates);
   std::uint32_t found = 0;
-  for (std::uint32_t i = 0; i < looks && found < enough; ++i) {
+  for (std::uint32_t i = 0; i < candidates && found < wanted; ++i) {
     const std::uint32_t index = group[(start + i * second) % size];
-    const target& looked_at = targets_[index];
-    if (!Usable(looked_at, from, now) || WasTried(request, index) ||
-        Refuses(looked_at, request, now)) {
+    const target& examined = targets_[index];
+    if (!Usable(examined, tier, now) || WasTried(request, index) ||
+        Refuses(examined, request, now)) {
       continue;
     }
     ++found;
     const candidate other{.index = index,
-                          .latency = LatencyOf(looked_at, now),
-                          .load = LoadOf(looked_at, now)};
+                          .latency = LatencyOf(examined, now),
+                          .load = LoadOf(examined, now)};
     if (best.index == kNone ||
         other.latency * other.load < best.latency * best.load) {
       best = other;
@@ -295,27 +300,27 @@
 }
 
 std::uint32_t balancer::Choose(const placement_request& request,
-                               choice from,
+                               target_tier tier,
                                time_point now,
                                std::uint64_t random) const {
   if (options_.policy == placement_policy::kExpectedEnd) {
-    return ChooseByExpectedEnd(request, from, now, random);
+    return ChooseByExpectedEnd(request, tier, now, random);
   }
   if (options_.policy == placement_policy::kRandom) {
-    return Best(all_, request, from, now, random).index;
+    return Best(all_, request, tier, now, random).index;
   }
-  const candidate near = Best(local_, request, from, now, random);
-  const candidate far = Best(remote_, request, from, now, random);
+  const candidate near = Best(local_, request, tier, now, random);
+  const candidate far = Best(remote_, request, tier, now, random);
   if (near.index == kNone || far.index == kNone) {
     return near.index == kNone ? far.index : near.index;
   }
   // Below the knee nothing waits, so that load says nothing of the time that a
   // call takes.
   const auto expected = [](const candidate& of) {
-    return of.latency * std::max(of.load, kKnee);
+    return of.latency * std::max(of.load, kKneeLoad);
   };
-  const bool overflows = expected(far) < kOverflow * expected(near);
-  return overflows ? far.index : near.index;
+  const bool spills_over = expected(far) < kSpilloverRatio * expected(near);
+  return spills_over ? far.index : near.index;
 }
 
 std::uint32_t balancer::ChooseProbe(const placement_request& request,
@@ -338,9 +343,9 @@
 placement balancer::Place(const placement_request& request,
                           time_point now,
                           std::uint64_t random) {
-  std::uint32_t index = Choose(request, choice::kServing, now, random);
+  std::uint32_t index = Choose(request, target_tier::kServing, now, random);
   if (index == kNone) {
-    index = Choose(request, choice::kStopping, now, random);
+    index = Choose(request, target_tier::kStopping, now, random);
   }
   bool any = false;
   if (index == kNone) {
@@ -359,7 +364,7 @@
 
 bool balancer::MayTryElsewhere(const placement_request& request,
                                time_point now) const {
-  if (request.tried.count - request.tried.gone >= options_.max_tries ||
+  if (request.tried.count - request.tried.unavailable >= options_.max_tries ||
       request.tried.count >= tried_targets::kMax) {
     return false;
   }
@@ -400,8 +405,8 @@
   }
   found->in_flight -= std::min(1U, found->in_flight);
   if (result == call_result::kAnswered) {
-    estimates_.Add(ref.index, method, target_estimates::sample::kWell, latency,
-                   now);
+    estimates_.Add(ref.index, method, target_estimates::sample::kSucceeded,
+                   latency, now);
   } else if (result != call_result::kRefused &&
              result != call_result::kCancelled) {
     estimates_.Add(ref.index, method, target_estimates::sample::kFailed,
@@ -427,7 +432,8 @@
   if (method >= found->levels.size()) {
     found->levels.resize(method + 1);
   }
-  found->levels[method] = {.level = report->admission_level, .heard = now};
+  found->levels[method] = {.level = report->admission_level,
+                           .received_at = now};
 }
 
 void balancer::RecordFailure(target& failed, time_point now) {
@@ -436,7 +442,7 @@
       failed.ejected_until > now || !MayEject(now)) {
     return;
   }
-  const std::uint32_t doublings = std::min(failed.ejections, kMostDoublings);
+  const std::uint32_t doublings = std::min(failed.ejections, kMaxDoublings);
   failed.ejected_until = now + kFirstEjection * (1U << doublings);
   ++failed.ejections;
   failed.failures = kFailuresToEject - 1;  // One more failure ejects again.
@@ -454,7 +460,7 @@
       ejected += candidate.ejected_until > now ? 1 : 0;
     }
   }
-  return (ejected + 1) * kEjectableShare <= std::max(2U, eligible) &&
+  return (ejected + 1) * kMaxEjectedDivisor <= std::max(2U, eligible) &&
          ejected + 1 < eligible;
 }
 
--- a/src/route/caller_mix.cc
+++ b/src/route/caller_mix.cc
@@ -8,7 +8,7 @@
 void caller_mix::Add(std::string_view service) {
   ++counts_[std::string(service)];
   ++total_;
-  if (total_ < kMost) {
+  if (total_ < kMaxCalls) {
     return;
   }
   total_ = 0;
@@ -20,11 +20,11 @@
 }
 
 bool caller_mix::IsMadeByTargets() const {
-  std::uint32_t most = 0;
+  std::uint32_t max_count = 0;
   for (const auto& [name, count] : counts_) {
-    most = std::max(most, count);
+    max_count = std::max(max_count, count);
   }
-  return total_ >= kFewest && most >= kShare * total_;
+  return total_ >= kMinCalls && max_count >= kMinShare * total_;
 }
 
 }  // namespace pistachioweir
--- a/src/route/expected_end.cc
+++ b/src/route/expected_end.cc
@@ -20,14 +20,14 @@
 // Failures below this part, and those that the best target has as well, are no
 // reason to go elsewhere: they swing by chance, and where a service further
 // down refuses, the targets of all data centres fail alike.
-constexpr double kCommonFailures = 0.15;
+constexpr double kToleratedFailures = 0.15;
 // Targets whose expected ends differ by less than this part of the objective
 // are as good as each other, and the emptiest of them is taken. Else the
 // fastest would get all calls until it is full, and a new one none.
-constexpr double kAsGood = 1.0 / 16;
+constexpr double kCostTolerance = 1.0 / 16;
 // From this part of its slots on a target is taken to become slower, up to half
 // as slow again when it is full.
-constexpr double kBusyFrom = 0.7;
+constexpr double kBusyThreshold = 0.7;
 constexpr double kBusySlowdown = 0.5;
 // A target that has just started takes about twice the time.
 constexpr double kColdFactor = 2;
@@ -39,14 +39,14 @@
 }  // namespace
 
 // How full the target would be with one more call.
-double balancer::Fullness(const target& of) {
-  return (of.in_flight + of.others + 1) / std::max(1.0, of.limit);
+double balancer::Utilization(const target& of) {
+  return (of.in_flight + of.other_load + 1) / std::max(1.0, of.limit);
 }
 
 // In nanoseconds.
 double balancer::ExpectedCost(std::uint32_t index,
                               const placement_request& request,
-                              double common_failures,
+                              double tolerated_failures,
                               time_point now) const {
   const target& of = targets_[index];
   const double objective = Count(request.objective);
@@ -54,20 +54,20 @@
   if (now < of.warm_from) {
     run *= kColdFactor;
   }
-  const double full = Fullness(of);
+  const double full = Utilization(of);
   const double busy =
-      std::clamp((full - kBusyFrom) / (1 - kBusyFrom), 0.0, 1.0);
+      std::clamp((full - kBusyThreshold) / (1 - kBusyThreshold), 0.0, 1.0);
   const double wait =
-      std::max(0.0, full - 1) * Count(estimates_.UsualRunTime(index));
+      std::max(0.0, full - 1) * Count(estimates_.MeanRunTime(index));
   const double failed =
-      std::max(0.0, estimates_.FailedPart(index, now) - common_failures);
+      std::max(0.0, estimates_.FailureRate(index, now) - tolerated_failures);
   return run * (1 + kBusySlowdown * busy) + wait +
          (of.local ? 0 : kRemoteCost * objective) +
-         failed * objective * (request.once ? kLostCost : kFailureCost);
+         failed * objective * (request.at_most_once ? kLostCost : kFailureCost);
 }
 
 std::uint32_t balancer::ChooseByExpectedEnd(const placement_request& request,
-                                            choice from,
+                                            target_tier tier,
                                             time_point now,
                                             std::uint64_t random) const {
   struct option {
@@ -75,31 +75,31 @@
     double cost = 0;
   };
   std::vector<option> options;
-  double fewest_failures = 1;
+  double lowest_failure_rate = 1;
   for (const std::uint32_t index : all_) {
-    if (Usable(targets_[index], from, now) && !WasTried(request, index) &&
+    if (Usable(targets_[index], tier, now) && !WasTried(request, index) &&
         !Refuses(targets_[index], request, now)) {
       options.push_back({.index = index});
-      fewest_failures =
-          std::min(fewest_failures, estimates_.FailedPart(index, now));
+      lowest_failure_rate =
+          std::min(lowest_failure_rate, estimates_.FailureRate(index, now));
     }
   }
-  double least = std::numeric_limits<double>::max();
+  double min_cost = std::numeric_limits<double>::max();
   for (option& each : options) {
     each.cost = ExpectedCost(each.index, request,
-                             fewest_failures + kCommonFailures, now);
-    least = std::min(least, each.cost);
+                             lowest_failure_rate + kToleratedFailures, now);
+    min_cost = std::min(min_cost, each.cost);
   }
-  const double most = least + kAsGood * Count(request.objective);
+  const double max_cost = min_cost + kCostTolerance * Count(request.objective);
   std::uint32_t chosen = kNone;
   // From a random place on, so that equals get equal shares.
   for (std::size_t i = 0; i < options.size(); ++i) {
-    const option& looked_at = options[(random + i) % options.size()];
-    const bool emptier =
+    const option& examined = options[(random + i) % options.size()];
+    const bool less_utilized =
         chosen == kNone ||
-        Fullness(targets_[looked_at.index]) < Fullness(targets_[chosen]);
-    if (looked_at.cost <= most && emptier) {
-      chosen = looked_at.index;
+        Utilization(targets_[examined.index]) < Utilization(targets_[chosen]);
+    if (examined.cost <= max_cost && less_utilized) {
+      chosen = examined.index;
     }
   }
   return chosen;
--- a/src/route/target_estimates.cc
+++ b/src/route/target_estimates.cc
@@ -9,20 +9,20 @@
 
 // Part of an average that the newest sample is. Work times spread by half of
 // their mean and more, so a target's factor needs some twenty of them.
-constexpr double kSpeedWeight = 1.0 / 20;
+constexpr double kTargetWeight = 1.0 / 20;
 constexpr double kKindWeight = 1.0 / 50;
 // Failures must show within a few: a target that loses two of five answers has
 // cost dozens of requests after a second.
-constexpr double kFailedWeight = 1.0 / 12;
+constexpr double kFailureWeight = 1.0 / 12;
 // Without news, half of what is known of failures is forgotten in this time.
-constexpr double kFadeSeconds = 2;
+constexpr double kHalfLifeSeconds = 2;
 // A factor beyond these is a stray sample, no target.
-constexpr double kSlowest = 20;
-constexpr double kFastest = 0.05;
+constexpr double kMaxFactor = 20;
+constexpr double kMinFactor = 0.05;
 // Where nothing is known; only compared with itself.
-constexpr double kGuess = 50e6;
+constexpr double kDefaultRunTime = 50e6;
 
-void Blend(double* average, double sample, double weight) {
+void UpdateAverage(double* average, double sample, double weight) {
   *average += weight * (sample - *average);
 }
 
@@ -44,47 +44,52 @@
     return;
   }
   target_state& state = targets_[target];
-  state.failed = FailedPart(target, now);
-  state.heard = now;
-  Blend(&state.failed, how == sample::kFailed ? 1 : 0, kFailedWeight);
+  state.failure_rate = FailureRate(target, now);
+  state.updated_at = now;
+  UpdateAverage(&state.failure_rate, how == sample::kFailed ? 1 : 0,
+                kFailureWeight);
   if (how == sample::kFailed) {
     return;  // Its time says nothing of the work.
   }
   const double time = std::max<double>(1, static_cast<double>(served.count()));
   double& known = kinds_[kind].time;
   if (known == 0) {
-    known = time / state.speed;
+    known = time / state.time_factor;
   }
-  const double factor = std::clamp(time / known, kFastest, kSlowest);
-  Blend(&state.speed, factor, kSpeedWeight);
-  Blend(&known, time / state.speed, kKindWeight);
-  if (state.usual == 0) {
-    state.usual = time;
+  const double factor = std::clamp(time / known, kMinFactor, kMaxFactor);
+  UpdateAverage(&state.time_factor, factor, kTargetWeight);
+  UpdateAverage(&known, time / state.time_factor, kKindWeight);
+  if (state.mean_time == 0) {
+    state.mean_time = time;
   }
-  Blend(&state.usual, time, kSpeedWeight);
+  UpdateAverage(&state.mean_time, time, kTargetWeight);
 }
 
 duration target_estimates::RunTime(std::uint32_t target,
                                    std::uint32_t kind) const {
-  const double speed = target < targets_.size() ? targets_[target].speed : 1;
+  const double time_factor =
+      target < targets_.size() ? targets_[target].time_factor : 1;
   const double known = kind < kinds_.size() ? kinds_[kind].time : 0;
-  return duration(
-      static_cast<duration::rep>((known == 0 ? kGuess : known) * speed));
+  return duration(static_cast<duration::rep>(
+      (known == 0 ? kDefaultRunTime : known) * time_factor));
 }
 
-duration target_estimates::UsualRunTime(std::uint32_t target) const {
-  const double usual = target < targets_.size() ? targets_[target].usual : 0;
-  return duration(static_cast<duration::rep>(usual == 0 ? kGuess : usual));
+duration target_estimates::MeanRunTime(std::uint32_t target) const {
+  const double mean_time =
+      target < targets_.size() ? targets_[target].mean_time : 0;
+  return duration(
+      static_cast<duration::rep>(mean_time == 0 ? kDefaultRunTime : mean_time));
 }
 
-double target_estimates::FailedPart(std::uint32_t target,
-                                    time_point now) const {
+double target_estimates::FailureRate(std::uint32_t target,
+                                     time_point now) const {
   if (target >= targets_.size()) {
     return 0;
   }
   const target_state& state = targets_[target];
-  const double age = std::chrono::duration<double>(now - state.heard).count();
-  return state.failed * std::exp2(-std::max(0.0, age) / kFadeSeconds);
+  const double age =
+      std::chrono::duration<double>(now - state.updated_at).count();
+  return state.failure_rate * std::exp2(-std::max(0.0, age) / kHalfLifeSeconds);
 }
 
 }  // namespace pistachioweir
--- a/src/route/weighted_split.cc
+++ b/src/route/weighted_split.cc
@@ -8,7 +8,7 @@
 
 // Steps of a cycle that a beginning may lie ahead; a cycle is at most as long
 // as the sum of the weights, mostly 100.
-constexpr std::uint64_t kMostStepsAhead = 100;
+constexpr std::uint64_t kMaxInitialSteps = 100;
 
 }  // namespace
 
@@ -30,21 +30,21 @@
   for (const route_part& part : parts) {
     total_ += part.weight;
   }
-  for (std::uint64_t i = random_ % kMostStepsAhead; i > 0; --i) {
+  for (std::uint64_t i = random_ % kMaxInitialSteps; i > 0; --i) {
     [[maybe_unused]] const std::size_t skipped = Step();
   }
 }
 
 std::size_t weighted_split::Step() {
-  std::size_t richest = 0;
+  std::size_t selected = 0;
   for (std::size_t i = 0; i < parts_.size(); ++i) {
     credit_[i] += parts_[i].weight;
-    if (credit_[i] > credit_[richest]) {
-      richest = i;
+    if (credit_[i] > credit_[selected]) {
+      selected = i;
     }
   }
-  credit_[richest] -= total_;
-  return richest;
+  credit_[selected] -= total_;
+  return selected;
 }
 
 }  // namespace pistachioweir
--- a/tests/admission_controller_test.cc
+++ b/tests/admission_controller_test.cc
@@ -45,7 +45,7 @@
 // share they get about that part of the work.
 TEST(AdmissionControllerTest, LessImportantWorkGetsItsAssuredShare) {
   admission_controller controller({.slots = 1,
-                                   .learn_limit = false,
+                                   .adaptive_limit = false,
                                    .use_level = false,
                                    .assured_share = 0.2});
   time_point now = kStart;
--- a/tests/failures_below_test.cc
+++ b/tests/downstream_failure_rate_test.cc
@@ -1,5 +1,5 @@
 // When a failed request is not run again, since its calls fail.
-#include "include/retry/failures_below.h"
+#include "include/retry/downstream_failure_rate.h"
 
 #include <gtest/gtest.h>
 
@@ -12,45 +12,45 @@
 
 const time_point kStart{seconds(1000)};
 
-TEST(FailuresBelowTest, FewLostCallsAreNoReason) {
-  failures_below below;
+TEST(DownstreamFailureRateTest, FewLostCallsAreNoReason) {
+  downstream_failure_rate failure_rate;
   std::mt19937 random(7);
   std::bernoulli_distribution fails(0.02);
   time_point now = kStart;
-  int too_many = 0;
+  int too_high = 0;
   for (int i = 0; i < 2000; ++i) {
-    below.Add(fails(random), now += milliseconds(5));
-    too_many += below.AreTooMany(now) ? 1 : 0;
+    failure_rate.Add(fails(random), now += milliseconds(5));
+    too_high += failure_rate.IsTooHigh(now) ? 1 : 0;
   }
-  EXPECT_LT(too_many, 100);
+  EXPECT_LT(too_high, 100);
 }
 
-TEST(FailuresBelowTest, IsForgottenInSeconds) {
-  failures_below below;
+TEST(DownstreamFailureRateTest, IsForgottenInSeconds) {
+  downstream_failure_rate failure_rate;
   for (int i = 0; i < 100; ++i) {
-    below.Add(true, kStart + milliseconds(5 * i));
+    failure_rate.Add(true, kStart + milliseconds(5 * i));
   }
-  EXPECT_TRUE(below.AreTooMany(kStart + milliseconds(500)));
-  EXPECT_FALSE(below.AreTooMany(kStart + seconds(5)));
+  EXPECT_TRUE(failure_rate.IsTooHigh(kStart + milliseconds(500)));
+  EXPECT_FALSE(failure_rate.IsTooHigh(kStart + seconds(5)));
 }
 
-struct outcome_of_play {
+struct simulation_result {
   double calls_repeated = 0;  // Of all first calls; budgets count these.
   double served = 0;          // Of all requests.
 };
 
-// Requests that make four calls each; `turned_away` of the arrivals of calls
+// Requests that make four calls each; `refusal_rate` of the arrivals of calls
 // are refused. Calls may be repeated up to a tenth of their number, requests
-// likewise; with `guarded`, requests only while their calls don't fail often.
-outcome_of_play Play(double turned_away, bool guarded) {
+// likewise; with `limited`, requests only while their calls don't fail often.
+simulation_result Simulate(double refusal_rate, bool limited) {
   constexpr int kRequests = 20000;
   constexpr int kCallsEach = 4;
   constexpr milliseconds kBetween{2};
   std::mt19937 random(7);
-  std::bernoulli_distribution refused(turned_away);
+  std::bernoulli_distribution refused(refusal_rate);
   repeat_budget requests({.ratio = 0.1, .reserve = 1});
   repeat_budget calls({.ratio = 0.1, .reserve = 1});
-  failures_below below;
+  downstream_failure_rate failure_rate;
   time_point now = kStart;
   int served = 0;
   int first_calls = 0;
@@ -65,7 +65,7 @@
         ++repeats;
         failed = refused(random);
       }
-      below.Add(failed, now);
+      failure_rate.Add(failed, now);
       if (failed) {
         return false;
       }
@@ -76,7 +76,7 @@
     now += kBetween;
     requests.OnRequest(now);
     bool well = run(false);
-    const bool may_repeat = !guarded || !below.AreTooMany(now);
+    const bool may_repeat = !limited || !failure_rate.IsTooHigh(now);
     if (!well && may_repeat && requests.TrySpend(now)) {
       well = run(true);
     }
@@ -90,17 +90,17 @@
 // whose calls fail are run again, fail again, and their calls count as repeats
 // of the called service: together with its own they pass what the operator
 // allows for it, and hardly any request is better off.
-TEST(FailuresBelowTest, RequestsAreNotRepeatedWhereTheirCallsFail) {
-  const outcome_of_play without = Play(0.55, false);
-  const outcome_of_play guarded = Play(0.55, true);
+TEST(DownstreamFailureRateTest, RequestsAreNotRepeatedWhereTheirCallsFail) {
+  const simulation_result without = Simulate(0.55, false);
+  const simulation_result limited = Simulate(0.55, true);
   EXPECT_GT(without.calls_repeated, 0.18);
-  EXPECT_LT(guarded.calls_repeated, 0.11);
-  EXPECT_GT(guarded.served, without.served - 0.02);
+  EXPECT_LT(limited.calls_repeated, 0.11);
+  EXPECT_GT(limited.served, without.served - 0.02);
 }
 
 // A few calls are lost; repeating their requests saves nearly all of them.
-TEST(FailuresBelowTest, RequestsAreRepeatedWhereFewCallsAreLost) {
-  EXPECT_GT(Play(0.02, true).served, 0.99);
+TEST(DownstreamFailureRateTest, RequestsAreRepeatedWhereFewCallsAreLost) {
+  EXPECT_GT(Simulate(0.02, true).served, 0.99);
 }
 
 }  // namespace
--- a/tests/expected_end_test.cc
+++ b/tests/expected_end_test.cc
@@ -68,7 +68,8 @@
   constexpr int kCalls = 400;
   for (int i = 0; i < kCalls; ++i) {
     now_ += milliseconds(5);
-    const placement placed = chooser_.Place({.once = true}, now_, random_());
+    const placement placed =
+        chooser_.Place({.at_most_once = true}, now_, random_());
     const bool near = chooser_.VmOf(placed.target) == "near";
     const bool fails = near && chance(random_) < 0.4;
     chooser_.Finish(placed.target, 0,
@@ -183,12 +184,12 @@
     chooser.Finish(placed.target, 0, call_result::kFailed, milliseconds(50),
                    nullptr, kStart);
     request.tried.refs[request.tried.count++] = placed.target;
-    ++request.tried.gone;
+    ++request.tried.unavailable;
     EXPECT_TRUE(chooser.MayTryElsewhere(request, kStart)) << i;
   }
   EXPECT_TRUE(chooser.Place(request, kStart, random_()).placed);
   // Refusals of targets that are there do: the fourth is the last.
-  request.tried.gone = 0;
+  request.tried.unavailable = 0;
   EXPECT_FALSE(chooser.MayTryElsewhere(request, kStart));
 }
 
--- a/tests/reserve_share_test.cc
+++ b/tests/reserve_share_test.cc
@@ -19,16 +19,16 @@
 
 TEST(ReserveShareTest, FollowsALongerListAtOnceAndAShorterOneAWindowLater) {
   reserve_share share(kWindow);
-  EXPECT_EQ(share.Part(kStart), 0);
-  share.NoteDaemons(4, kStart);
-  time_point now = kStart + reserve_share::kFirstListGrows;
-  EXPECT_EQ(share.Part(now), reserve_share::kUsed / 4);
-  share.NoteDaemons(16, now);
-  EXPECT_EQ(share.Part(now), reserve_share::kUsed / 16);
-  share.NoteDaemons(2, now);
-  EXPECT_EQ(share.Part(now + kWindow), reserve_share::kUsed / 16);
-  EXPECT_EQ(share.Part(now + kWindow + milliseconds(1)),
-            reserve_share::kUsed / 2);
+  EXPECT_EQ(share.Fraction(kStart), 0);
+  share.OnDaemonCount(4, kStart);
+  time_point now = kStart + reserve_share::kInitialSettleTime;
+  EXPECT_EQ(share.Fraction(now), reserve_share::kUsableFraction / 4);
+  share.OnDaemonCount(16, now);
+  EXPECT_EQ(share.Fraction(now), reserve_share::kUsableFraction / 16);
+  share.OnDaemonCount(2, now);
+  EXPECT_EQ(share.Fraction(now + kWindow), reserve_share::kUsableFraction / 16);
+  EXPECT_EQ(share.Fraction(now + kWindow + milliseconds(1)),
+            reserve_share::kUsableFraction / 2);
 }
 
 // All daemons start, and their targets register one after the other. Two
@@ -45,10 +45,10 @@
     const time_point now = kStart + step * milliseconds(100);
     const std::size_t known = std::min<std::size_t>(kDaemons, 1 + step);
     for (std::size_t i = 0; i < known; ++i) {
-      shares[i].NoteDaemons(known, now);
+      shares[i].OnDaemonCount(known, now);
       budgets[i].Configure({.window = kWindow,
                             .ratio = 0,
-                            .reserve = kReserve * shares[i].Part(now)});
+                            .reserve = kReserve * shares[i].Fraction(now)});
       spent += budgets[i].TrySpend(now) ? 1 : 0;
     }
   }
@@ -76,15 +76,15 @@
       notes.back().until = now;
     }
     notes.push_back({count, now, time_point::max()});
-    share.NoteDaemons(count, now);
+    share.OnDaemonCount(count, now);
     std::size_t longest = 0;
     for (const note& each : notes) {
       if (each.until >= now - kWindow) {
         longest = std::max(longest, each.daemons);
       }
     }
-    RC_ASSERT(share.Part(now) <=
-              reserve_share::kUsed / static_cast<double>(longest));
+    RC_ASSERT(share.Fraction(now) <=
+              reserve_share::kUsableFraction / static_cast<double>(longest));
   }
 }
 
--- a/tests/hopeless_sends_test.cc
+++ b/tests/send_feasibility_test.cc
@@ -1,5 +1,5 @@
 // Which requests are not sent any more for want of time.
-#include "include/retry/hopeless_sends.h"
+#include "include/retry/send_feasibility.h"
 
 #include <gtest/gtest.h>
 
@@ -12,32 +12,34 @@
 // request was sent to three more targets with two milliseconds left (log:
 // sent_again left_ms=2, then deadline_passed). They did no good there and used
 // up the bound on repeats.
-TEST(HopelessSendsTest, WhatCannotEndInTimeIsNotSent) {
-  hopeless_sends sends;
-  sends.OnServed(0, milliseconds(40), kStart);
-  sends.OnServed(0, milliseconds(15), kStart);
-  sends.OnServed(0, milliseconds(90), kStart);
-  EXPECT_TRUE(sends.IsHopeless(0, milliseconds(2), kStart));
-  EXPECT_TRUE(sends.IsHopeless(0, milliseconds(7), kStart));
+TEST(SendFeasibilityTest, WhatCannotEndInTimeIsNotSent) {
+  send_feasibility feasibility;
+  feasibility.OnCompleted(0, milliseconds(40), kStart);
+  feasibility.OnCompleted(0, milliseconds(15), kStart);
+  feasibility.OnCompleted(0, milliseconds(90), kStart);
+  EXPECT_TRUE(feasibility.IsInfeasible(0, milliseconds(2), kStart));
+  EXPECT_TRUE(feasibility.IsInfeasible(0, milliseconds(7), kStart));
   // It could end in time: nothing says that 15 ms are the least it can take.
-  EXPECT_FALSE(sends.IsHopeless(0, milliseconds(8), kStart));
-  EXPECT_FALSE(sends.IsHopeless(0, milliseconds(100), kStart));
+  EXPECT_FALSE(feasibility.IsInfeasible(0, milliseconds(8), kStart));
+  EXPECT_FALSE(feasibility.IsInfeasible(0, milliseconds(100), kStart));
 }
 
-TEST(HopelessSendsTest, KindsAreToldApart) {
-  hopeless_sends sends;
-  sends.OnServed(0, milliseconds(600), kStart);
-  EXPECT_TRUE(sends.IsHopeless(0, milliseconds(100), kStart));
-  EXPECT_FALSE(sends.IsHopeless(1, milliseconds(100), kStart));
+TEST(SendFeasibilityTest, KindsAreToldApart) {
+  send_feasibility feasibility;
+  feasibility.OnCompleted(0, milliseconds(600), kStart);
+  EXPECT_TRUE(feasibility.IsInfeasible(0, milliseconds(100), kStart));
+  EXPECT_FALSE(feasibility.IsInfeasible(1, milliseconds(100), kStart));
 }
 
 // Of a kind that nothing is known of, or not any more, everything is sent.
-TEST(HopelessSendsTest, WhatWasLongAgoSaysNothing) {
-  hopeless_sends sends;
-  EXPECT_FALSE(sends.IsHopeless(0, milliseconds(0), kStart));
-  sends.OnServed(0, milliseconds(600), kStart);
-  EXPECT_TRUE(sends.IsHopeless(0, milliseconds(100), kStart + seconds(4)));
-  EXPECT_FALSE(sends.IsHopeless(0, milliseconds(100), kStart + seconds(11)));
+TEST(SendFeasibilityTest, WhatWasLongAgoSaysNothing) {
+  send_feasibility feasibility;
+  EXPECT_FALSE(feasibility.IsInfeasible(0, milliseconds(0), kStart));
+  feasibility.OnCompleted(0, milliseconds(600), kStart);
+  EXPECT_TRUE(
+      feasibility.IsInfeasible(0, milliseconds(100), kStart + seconds(4)));
+  EXPECT_FALSE(
+      feasibility.IsInfeasible(0, milliseconds(100), kStart + seconds(11)));
 }
 
 TEST(RecentExtremeTest, KeepsTheWindowsExtremes) {
--- a/tests/target_wait_test.cc
+++ b/tests/target_wait_test.cc
@@ -18,7 +18,7 @@
 // Looks until it is refused; returns how long that took.
 milliseconds Waits(const target_search& search) {
   milliseconds waited{0};
-  while (const auto pause = NextLook(search, kStart + waited)) {
+  while (const auto pause = NextLookupDelay(search, kStart + waited)) {
     waited += *pause;
   }
   return waited;
@@ -31,7 +31,7 @@
 TEST(TargetWaitTest, ARequestThatFoundNobodyLooksAgain) {
   for (const reason why : {reason::kNotReady, reason::kDraining,
                            reason::kNoTarget, reason::kWrongTarget}) {
-    EXPECT_TRUE(NextLook(Search(why), kStart).has_value());
+    EXPECT_TRUE(NextLookupDelay(Search(why), kStart).has_value());
   }
 }
 
@@ -39,8 +39,8 @@
 // most of their time left.
 TEST(TargetWaitTest, TheWaitIsASmallPartOfTheObjective) {
   const milliseconds waited = Waits(Search(reason::kNoTarget));
-  EXPECT_GE(waited, 2 * kLookInterval);
-  EXPECT_LE(waited, milliseconds(1000) / kMostWaitPart);
+  EXPECT_GE(waited, 2 * kLookupRetryInterval);
+  EXPECT_LE(waited, milliseconds(1000) / kMaxWaitDivisor);
 }
 
 // All targets are full. Requests that wait here would come back to them as more
@@ -48,14 +48,14 @@
 TEST(TargetWaitTest, WantOfRoomIsToldAtOnce) {
   for (const reason why : {reason::kOverload, reason::kQueueFull,
                            reason::kWasted, reason::kQuarantined}) {
-    EXPECT_FALSE(NextLook(Search(why), kStart).has_value());
+    EXPECT_FALSE(NextLookupDelay(Search(why), kStart).has_value());
   }
 }
 
 TEST(TargetWaitTest, NothingWaitsIntoItsDeadline) {
   target_search search = Search(reason::kNoTarget);
-  search.deadline = kStart + kLookInterval;
-  EXPECT_FALSE(NextLook(search, kStart).has_value());
+  search.deadline = kStart + kLookupRetryInterval;
+  EXPECT_FALSE(NextLookupDelay(search, kStart).has_value());
 }
 
 }  // namespace
--- a/tools/load_model/calls.cc
+++ b/tools/load_model/calls.cc
@@ -41,7 +41,7 @@
   added.where = {.method = of.method,
                  .level = where_.methods[of.method].level,
                  .ticket = of.ticket,
-                 .invested = service > 0};
+                 .is_nested = service > 0};
   added.credit = credit;
   added.deadline = deadline;
   added.began = now_;
--- a/tools/load_model/model.cc
+++ b/tools/load_model/model.cc
@@ -58,7 +58,7 @@
         added.controller.emplace_back(admission_options{
             .slots = where_.chain[service].slots,
             .methods = static_cast<std::uint32_t>(where_.methods.size()),
-            .learn_limit = Has(mechanism::kLimit),
+            .adaptive_limit = Has(mechanism::kLimit),
             .use_level = Has(mechanism::kLevel),
             .use_deadlines = Has(mechanism::kQueue)});
       }
