--- a/include/forward/lapsed_targets.h
+++ b/include/forward/lapsed_targets.h
@@ -28,10 +28,10 @@
   // How long vouching holds. A target may have left right behind its answer,
   // and requests must not reach it two seconds later; they take time
   // themselves.
-  static constexpr milliseconds kHolds = target_vouching::kLease;
+  static constexpr milliseconds kVouchingLease = target_vouching::kLease;
   // It may come after the entry has gone: a daemon notices that its
   // connection to the store is dead only after some seconds.
-  static constexpr milliseconds kRemembered{6000};
+  static constexpr milliseconds kRetention{6000};
 
   // The store's list is `listed` now.
   void SetListed(std::vector<target_entry> listed, time_point now);
@@ -47,7 +47,7 @@
   void Expire(time_point now);
 
  private:
-  struct voucher {
+  struct vouching {
     std::string start;
     time_point answered;
   };
@@ -61,7 +61,7 @@
 
   std::vector<target_entry> listed_;
   std::map<std::string, removed_target> removed_;  // By id; none is listed.
-  std::map<std::string, voucher> vouchers_;        // By IP number.
+  std::map<std::string, vouching> vouchings_;      // By IP number.
 };
 
 }  // namespace pistachioweir
--- a/include/forward/store_contact.h
+++ b/include/forward/store_contact.h
@@ -8,13 +8,13 @@
 namespace pistachioweir {
 
 // Since when an answer is missing that was due at `due`, if the call, that was
-// to be given up at `given_up`, is so at `now`. A process that stood still
+// to be given up at `abandoned_at`, is so at `now`. A process that stood still
 // meanwhile could not hear one.
-[[nodiscard]] inline time_point MissingSince(time_point due,
-                                             time_point given_up,
-                                             time_point now) {
-  constexpr milliseconds kStoodStill{300};
-  return now - given_up > kStoodStill ? now : due;
+[[nodiscard]] inline time_point UnansweredSince(time_point due,
+                                                time_point abandoned_at,
+                                                time_point now) {
+  constexpr milliseconds kMaxStall{300};
+  return now - abandoned_at > kMaxStall ? now : due;
 }
 
 // Entries of live targets run out while the store is away for all, so removals
@@ -31,7 +31,7 @@
   // is away: longer than readers of the store wait between two answers, shorter
   // than the two heartbeats of a second and a half within which no entry runs
   // out.
-  static constexpr milliseconds kAway{2500};
+  static constexpr milliseconds kOutageThreshold{2500};
 
   // The store answered a daemon at `at`. Told in any order: a late one may show
   // that the store was there.
@@ -48,15 +48,16 @@
   // Without answers in between. Nobody may have known of the store before its
   // first answer.
   struct silence {
-    time_point began = time_point::min();
-    time_point ended;
+    time_point begin = time_point::min();
+    time_point end;
     bool failed = false;  // Calls failed in it.
   };
 
-  void Judge(silence* found) const;
+  void MarkFailures(silence* found) const;
 
   std::optional<time_point> last_;
-  std::optional<silence> silence_;  // The last one longer than kAway.
+  std::optional<silence>
+      silence_;  // The last one longer than kOutageThreshold.
   // The last calls that failed.
   time_point failed_since_ = time_point::min();
   time_point failed_until_ = time_point::min();
--- a/include/forward/target_vouching.h
+++ b/include/forward/target_vouching.h
@@ -28,18 +28,18 @@
  public:
   // Calls to the store must have failed for so long: an answer that is lost
   // alone is asked for again within this time.
-  static constexpr milliseconds kLost{500};
+  static constexpr milliseconds kStoreLostAfter{500};
   // Entries that ran out are back so long after the store is.
   static constexpr milliseconds kReturnTime{2000};
   // The target must have answered within this time. Targets in use answer many
   // times in it, and it is short against the two seconds after which a target
   // that leaves may get nothing.
-  static constexpr milliseconds kAnswered{1000};
+  static constexpr milliseconds kMaxAnswerAge{1000};
   // Vouching holds for so long from the target's answer on.
   static constexpr milliseconds kLease{1500};
   // A target that is known to leave gets requests for this long, as long as
   // others may take to learn of it.
-  static constexpr milliseconds kStillServes{1000};
+  static constexpr milliseconds kLeavingGrace{1000};
 
   // The start of the target beside the daemon as the view lists it, empty if it
   // is listed as leaving.
@@ -66,7 +66,7 @@
   // Once a second. Ends for good what has left.
   void Tick(const view_state& view, time_point now) {
     if (unlisted_since_ && now - *unlisted_since_ > kReturnTime &&
-        !view.lost_since && !IsBack(view, now)) {
+        !view.lost_since && !IsStoreBack(view, now)) {
       start_.clear();
     }
   }
@@ -85,30 +85,33 @@
   // Whether requests may be handed to the target.
   [[nodiscard]] bool MayServe(const view_state& view, time_point now) const {
     if (leaving_since_) {
-      return now - *leaving_since_ <= kStillServes;
+      return now - *leaving_since_ <= kLeavingGrace;
     }
-    if (!unlisted_since_ || now - *unlisted_since_ <= kStillServes) {
+    if (!unlisted_since_ || now - *unlisted_since_ <= kLeavingGrace) {
       return true;
     }
-    return IsLost(view, now) && now - answered_ <= kLease;
+    return IsStoreLost(view, now) && now - answered_ <= kLease;
   }
   // Of the start that is listed, or was last; the epoch if it has not yet.
   [[nodiscard]] time_point answered() const { return answered_; }
   // The start that the daemon vouches for; empty for none.
-  [[nodiscard]] std::string Vouched(const view_state& view,
-                                    time_point now) const {
-    const bool lives =
-        answered_ != time_point() && now - answered_ <= kAnswered;
-    return IsLost(view, now) && lives ? start_ : std::string();
+  [[nodiscard]] std::string VouchedStart(const view_state& view,
+                                         time_point now) const {
+    const bool alive =
+        answered_ != time_point() && now - answered_ <= kMaxAnswerAge;
+    return IsStoreLost(view, now) && alive ? start_ : std::string();
   }
 
  private:
   // What vanishes from the list now may have run out.
-  [[nodiscard]] static bool IsLost(const view_state& view, time_point now) {
-    const bool lost = view.lost_since && now - *view.lost_since >= kLost;
-    return lost || IsBack(view, now);
+  [[nodiscard]] static bool IsStoreLost(const view_state& view,
+                                        time_point now) {
+    const bool lost =
+        view.lost_since && now - *view.lost_since >= kStoreLostAfter;
+    return lost || IsStoreBack(view, now);
   }
-  [[nodiscard]] static bool IsBack(const view_state& view, time_point now) {
+  [[nodiscard]] static bool IsStoreBack(const view_state& view,
+                                        time_point now) {
     return view.regained_at && now - *view.regained_at < kReturnTime;
   }
 
--- a/include/forward/view_changes.h
+++ b/include/forward/view_changes.h
@@ -37,7 +37,7 @@
   std::uint64_t after = 0;
   std::uint64_t revision = 0;  // The last one; above zero.
   // Since a daemon read the newest of them at the store.
-  milliseconds learnt_ago{0};
+  milliseconds read_ago{0};
   // Since the store was back after it had been away, if that is so short ago
   // that entries which ran out meanwhile may still come back.
   std::optional<milliseconds> returned_ago;
@@ -46,13 +46,13 @@
 };
 
 // What became of changes that were told.
-enum class told_changes_verdict : std::uint8_t {
+enum class changes_verdict : std::uint8_t {
   kTaken,
   kNotNewer,  // All of it is known.
   kGap,       // What came before them isn't known.
 };
 
-inline constexpr enum_table<told_changes_verdict, 3> kToldChangesVerdictNames(
+inline constexpr enum_table<changes_verdict, 3> kChangesVerdictNames(
     {"taken", "not_newer", "gap"});
 
 // Whether a daemon reads the store itself.
--- a/include/forward/view_following.h
+++ b/include/forward/view_following.h
@@ -15,15 +15,16 @@
 namespace pistachioweir {
 
 // Where a daemon is: beside a target.
-struct daemon_place {
+struct daemon_location {
   std::string ip;
   std::string data_centre;
 
-  friend auto operator<=>(const daemon_place&, const daemon_place&) = default;
+  friend auto operator<=>(const daemon_location&,
+                          const daemon_location&) = default;
 };
 
 struct view_following_options {
-  daemon_place self;
+  daemon_location self;
   // Daemons that read the store for their data centre. With two, one that is
   // frozen or cut off costs nobody time: the other's reports come as before.
   std::size_t readers = 2;
@@ -32,15 +33,15 @@
   std::size_t fan_out = 32;
   // A source that has said nothing useful for this long is replaced. Two
   // heartbeats of it are missing then.
-  milliseconds silence{550};
+  milliseconds source_timeout{550};
   // If nobody who reads the store confirmed the own view so lately, a daemon
   // reads by itself; half of the two seconds in which a change may have to be
   // in force. A report that is older than this is of no use. Each daemon that
   // it comes by adds at most the time between two heartbeats, and it comes by
   // three at most.
-  milliseconds alone{1000};
+  milliseconds max_age{1000};
   // How long a source that was replaced is passed over if it isn't heard from.
-  milliseconds passed_over{30000};
+  milliseconds exclusion{30000};
 };
 
 struct following_plan {
@@ -64,12 +65,12 @@
  public:
   // What a report takes to the next daemon, with some margin: an age that is
   // passed on grows by this.
-  static constexpr milliseconds kReportWay{20};
+  static constexpr milliseconds kReportDelay{20};
 
   explicit view_following(view_following_options options);
 
   // All daemons that are known, this one among them if its target is listed.
-  void SetDaemons(const std::vector<daemon_place>& daemons);
+  void SetDaemons(const std::vector<daemon_location>& daemons);
 
   // The daemon at `ip` has a view that isn't older than the own one. Somebody
   // who reads the store confirmed it `age` ago; zero if it reads the store
@@ -81,7 +82,7 @@
   // The daemon at `ip` can't be reached, or is stopping.
   void OnLost(const std::string& ip, time_point now);
   // How the own reading of the store goes; only while there is one.
-  void OnReading(bool well);
+  void OnReadResult(bool ok);
 
   // What to do from now on. Call several times within `silence`.
   [[nodiscard]] following_plan Plan(time_point now);
@@ -91,46 +92,46 @@
   [[nodiscard]] milliseconds Age(time_point now) const;
   // Whether that is so lately that the view can be relied on.
   [[nodiscard]] bool IsFresh(time_point now) const {
-    return Age(now) <= options_.alone;
+    return Age(now) <= options_.max_age;
   }
 
  private:
   struct source {
-    time_point since;                // When it was chosen.
-    bool should_read = false;        // It stands in front of its data centre.
-    time_point reported;             // Its last useful one.
-    std::optional<time_point> lost;  // Since when it is passed over.
+    time_point since;          // When it was chosen.
+    bool should_read = false;  // It stands in front of its data centre.
+    time_point last_report;    // Its last useful one.
+    std::optional<time_point> excluded_since;  // Since when it is passed over.
   };
 
-  [[nodiscard]] bool IsPassedOver(const std::string& ip, time_point now) const;
+  [[nodiscard]] bool IsExcluded(const std::string& ip, time_point now) const;
   // Of the own data centre, in the order, without those that are passed over.
   [[nodiscard]] std::vector<std::string> Serving(time_point now) const;
   [[nodiscard]] std::vector<std::string> Sources(
       const std::vector<std::string>& serving,
-      std::size_t own_place,
+      std::size_t own_index,
       time_point now) const;
   void AddRemote(std::vector<std::string>* sources, time_point now) const;
   [[nodiscard]] bool IsAmongFirst(const std::vector<std::string>& order) const;
-  void JudgeSources(time_point now);
-  void Choose(const std::vector<std::string>& sources,
-              const std::vector<std::string>& serving,
-              time_point now);
-  void AddPassedOver(std::vector<std::string>* sources) const;
+  void ExpireSources(time_point now);
+  void SetSources(const std::vector<std::string>& sources,
+                  const std::vector<std::string>& serving,
+                  time_point now);
+  void AddExcluded(std::vector<std::string>* sources) const;
   [[nodiscard]] store_reading Reading(const std::vector<std::string>& serving,
                                       time_point now) const;
 
   const view_following_options options_;
-  std::vector<std::string> near_;  // The own data centre's, in the order.
-  std::vector<std::string> far_;   // The others', likewise.
+  std::vector<std::string> local_;   // The own data centre's, in the order.
+  std::vector<std::string> remote_;  // The others', likewise.
   std::map<std::string, source> sources_;  // Followed, or passed over.
-  time_point planned_;                     // The last plan.
+  time_point last_plan_;                   // The last plan.
   // Since when somebody could have spoken: there was nobody to follow before,
   // or this daemon stood still.
-  std::optional<time_point> listens_since_;
+  std::optional<time_point> listening_since_;
   // When somebody who reads the store confirmed the view.
   time_point confirmed_;
-  bool reads_well_ = false;
-  bool reads_badly_ = false;  // It was tried, and the store failed.
+  bool last_read_ok_ = false;
+  bool last_read_failed_ = false;  // It was tried, and the store failed.
 };
 
 }  // namespace pistachioweir
--- a/include/forward/view_freshness.h
+++ b/include/forward/view_freshness.h
@@ -39,17 +39,17 @@
   [[nodiscard]] std::optional<milliseconds> Age(boot_time now) const;
 
  private:
-  struct moment {
+  struct pending_proof {
     std::uint64_t revision = 0;
     boot_time proven;
   };
 
-  void Adopt(boot_time proven);
+  void Advance(boot_time proven);
 
   std::uint64_t revision_ = 0;
   std::optional<boot_time> proven_;
   // The newest proof that is ahead of the view: its revision is greater.
-  std::optional<moment> ahead_;
+  std::optional<pending_proof> pending_;
 };
 
 }  // namespace pistachioweir
--- a/include/forward/view_state.h
+++ b/include/forward/view_state.h
@@ -19,7 +19,7 @@
   // The store's last answer to this daemon, if it reads the store.
   std::optional<time_point> store_answered;
   // Whether this daemon reads the store, and its last call there went well.
-  bool reads_well = false;
+  bool last_read_ok = false;
   // Since when this daemon can't reach the store, if that was so last.
   std::optional<time_point> lost_since;
   // When this daemon had the store back, the last time.
--- a/include/forward/watch_pace.h
+++ b/include/forward/watch_pace.h
@@ -12,7 +12,7 @@
 
 // At most half of the two seconds within which a change of the configuration or
 // of a target that leaves must be in force.
-inline constexpr milliseconds kMostWatchPause{1000};
+inline constexpr milliseconds kMaxWatchPause{1000};
 // A pause ends early when a target turns out to be another one than the list
 // has at its address: the changes that the daemon waits for are then those that
 // it needs. After a loss of power all targets are new. A daemon that read the
@@ -20,7 +20,7 @@
 // from each old target in turn that it is gone, and refuse calls for want of a
 // target while all of them are registered. Not more often than this: each is a
 // call that the pause was to save.
-inline constexpr milliseconds kLeastWatchPause{200};
+inline constexpr milliseconds kMinWatchPause{200};
 
 // One change costs a call of each daemon that watches the store. A series of
 // changes, as when all targets are started or replaced, would cost as many
@@ -33,9 +33,9 @@
   // told.
   double store_calls_per_second = 0;
   reader_policy readers = reader_policy::kFew;
-  milliseconds longest_wait{0};  // Of a watch; zero for no bound.
-  milliseconds most_pause = kMostWatchPause;
-  milliseconds least_pause = kLeastWatchPause;  // If it is ended early.
+  milliseconds max_wait{0};  // Of a watch; zero for no bound.
+  milliseconds max_pause = kMaxWatchPause;
+  milliseconds min_pause = kMinWatchPause;  // If it is ended early.
 };
 
 // The part of the store's calls that changes may take. After an outage of the
@@ -47,7 +47,7 @@
 // two of a data centre tell each other what they read, and both are woken by
 // the same change: if they paused for the same time, one of them would call for
 // nothing.
-inline constexpr milliseconds kLeastReaderPause{500};
+inline constexpr milliseconds kMinReaderPause{500};
 
 // How long to wait behind an answer that brought changes. `random` spreads the
 // pauses of readers.
@@ -60,14 +60,14 @@
     return milliseconds(0);
   }
   if (options.readers == reader_policy::kFew) {
-    const milliseconds least = std::min(kLeastReaderPause, options.most_pause);
-    const milliseconds spread = options.most_pause - least;
-    return least +
+    const milliseconds minimum = std::min(kMinReaderPause, options.max_pause);
+    const milliseconds spread = options.max_pause - minimum;
+    return minimum +
            spread * static_cast<milliseconds::rep>(random % 1024) / 1024;
   }
   const milliseconds even(static_cast<milliseconds::rep>(
       1000.0 * static_cast<double>(daemons) / allowed));
-  return std::min(even, options.most_pause);
+  return std::min(even, options.max_pause);
 }
 
 // How long a watch waits for a change, before it is renewed.
@@ -82,15 +82,15 @@
 inline constexpr milliseconds kFleetRenewal{100};
 // A few daemons can't rely on each other, and find out by themselves within the
 // two seconds that a change may take.
-inline constexpr milliseconds kLeastWatchWait{1500};
+inline constexpr milliseconds kMinWatchWait{1500};
 // Behind a silent store a daemon may be this long without news.
-inline constexpr milliseconds kMostWatchWait{8000};
+inline constexpr milliseconds kMaxWatchWait{8000};
 // Where a few daemons read for all, each of them vouches for many others while
 // its watch waits, and others tell by its answers whether the store is there
 // (store_contact.h). So long at most lies between two of them; a pause counts.
-inline constexpr milliseconds kReaderWatchWait{1500};
+inline constexpr milliseconds kMaxReaderWait{1500};
 // What is left of that behind a pause.
-inline constexpr milliseconds kLeastReaderWait{250};
+inline constexpr milliseconds kMinReaderWait{250};
 
 // `random` spreads the renewals: a change wakes all daemons at one moment.
 // `paused` is the time since the last answer.
@@ -99,21 +99,19 @@
     std::size_t daemons,
     std::uint32_t random,
     milliseconds paused = milliseconds(0)) {
-  const milliseconds most = options.readers == reader_policy::kAll
-                                ? kMostWatchWait
-                                : kReaderWatchWait;
+  const milliseconds maximum =
+      options.readers == reader_policy::kAll ? kMaxWatchWait : kMaxReaderWait;
   const milliseconds even =
       std::clamp(kFleetRenewal * static_cast<milliseconds::rep>(daemons),
-                 kLeastWatchWait, most);
-  const milliseconds spread = (even - kLeastWatchWait) / 2;
+                 kMinWatchWait, maximum);
+  const milliseconds spread = (even - kMinWatchWait) / 2;
   milliseconds wait =
       even - spread * static_cast<milliseconds::rep>(random % 1024) / 1024;
   if (options.readers == reader_policy::kFew) {
-    wait = std::max(kLeastReaderWait, wait - paused);
+    wait = std::max(kMinReaderWait, wait - paused);
   }
-  return options.longest_wait > milliseconds(0)
-             ? std::min(wait, options.longest_wait)
-             : wait;
+  return options.max_wait > milliseconds(0) ? std::min(wait, options.max_wait)
+                                            : wait;
 }
 
 }  // namespace pistachioweir
--- a/src/forward/executor_reports.cc
+++ b/src/forward/executor_reports.cc
@@ -39,7 +39,7 @@
   }
   const view_state view = view_state_();
   const time_point now = monotonic_clock::now();
-  std::string vouched = vouching_.Vouched(view, now);
+  std::string vouched = vouching_.VouchedStart(view, now);
   const milliseconds ago = vouched.empty()
                                ? milliseconds(0)
                                : ToMilliseconds(now - vouching_.answered());
@@ -84,7 +84,7 @@
 }
 
 void executor::LogVouching(const view_state& view, time_point now) {
-  std::string vouched = vouching_.Vouched(view, now);
+  std::string vouched = vouching_.VouchedStart(view, now);
   if (vouched == vouched_) {
     return;
   }
--- a/src/forward/forward_daemon.h
+++ b/src/forward/forward_daemon.h
@@ -67,7 +67,7 @@
   source.NoteStoreAnswer(time_point());
   // A target isn't the one that the view has at its address.
   source.NoteStaleTarget();
-  { source.Apply(view_changes{}) } -> std::same_as<told_changes_verdict>;
+  { source.Apply(view_changes{}) } -> std::same_as<changes_verdict>;
   {
     source.ChangesSince(std::uint64_t{})
     } -> std::same_as<std::optional<view_changes>>;
@@ -146,7 +146,7 @@
                   .own_target = settings.target,
                   .readers = settings.store_readers,
                   .max_key_age = MaxKeyAge(settings)},
-                 SharingParts()),
+                 SharingCallbacks()),
         quotas_(context_,
                 {.self = settings.target.ip, .overage = settings.quota_overage},
                 [this](const std::string& ip, const usage_frame& usage) {
@@ -182,7 +182,7 @@
     executor_.SetViewState([this] { return views_.state(); },
                            [this] { return sharing_.age(); },
                            [this] { return sharing_.store_answered_ago(); });
-    views_.OnNews([this](const std::string& from) { sharing_.OnNews(from); });
+    views_.OnNews([this](const std::string& from) { sharing_.OnUpdate(from); });
     Tick();
     views_.Start();
     sharing_.Start();
@@ -253,7 +253,7 @@
                                                     kPartForEntrance);
   }
 
-  view_sharing_parts SharingParts() {
+  view_sharing_callbacks SharingCallbacks() {
     return {
         .state = [this] { return views_.state(); },
         .set_reading =
@@ -279,7 +279,7 @@
             },
         .ask_connected =
             [this](std::uint64_t revision) { peers_.AskForChanges(revision); },
-        .tell_followers =
+        .notify_followers =
             [this](const std::string& except) { peers_.TellFollowers(except); },
         .heartbeat = [this] { peers_.Heartbeat(); }};
   }
@@ -325,7 +325,7 @@
             .store_calls = views_.calls(),
             .removals_delayed = views_.removals_delayed(),
             .followers = peers_.followers(),
-            .telling = peers_.counters(),
+            .publishing = peers_.counters(),
             .sharing = sharing_.counters(),
             .proven_age = sharing_.proven_age()};
   }
@@ -516,7 +516,7 @@
     const time_point now = monotonic_clock::now();
     lag_ = std::max(duration(0), now - next_tick_);
     const process_load load = LoadNow(lag_);
-    if (IsStrained(load)) {
+    if (ExceedsThresholds(load)) {
       LogProcessLoad(load);
     }
     origin_.Tick(now);
--- a/src/forward/forward_pages.cc
+++ b/src/forward/forward_pages.cc
@@ -86,18 +86,19 @@
           "Removals of targets put off, since the store was away before",
           view.removals_delayed);
   counter("changes_sent", "Frames of changes to other daemons",
-          view.telling.told);
+          view.publishing.told);
   counter("changes_put_off", "Frames not sent, since the follower reads slowly",
-          view.telling.put_off);
+          view.publishing.put_off);
   counter("changes_taken", "Frames of changes with news", view.sharing.taken);
-  counter("changes_useless", "Frames of changes without", view.sharing.useless);
+  counter("changes_useless", "Frames of changes without",
+          view.sharing.not_applied);
   counter("changes_asked", "Questions for changes that others know of",
           view.sharing.asked);
   families->push_back(ChangeAges(view.sharing));
 }
 
 // Those that were refused most; the page stays bounded.
-constexpr std::size_t kMostOrganisations = 50;
+constexpr std::size_t kMaxOrganisations = 50;
 
 void AddQuotas(const quota_page& quotas, std::vector<MetricFamily>* families) {
   Add("quota_daemons_in_touch",
@@ -105,7 +106,7 @@
       quotas.in_touch, families);
   std::vector<quota_page_entry> most = quotas.refused;
   std::ranges::sort(most, std::greater<>(), &quota_page_entry::refused);
-  most.resize(std::min(most.size(), kMostOrganisations));
+  most.resize(std::min(most.size(), kMaxOrganisations));
   MetricFamily family;
   family.name = "pistachioweir_forward_quota_requests";
   family.help = "Requests of organisations that were refused any, by verdict";
--- a/src/forward/forward_pages.h
+++ b/src/forward/forward_pages.h
@@ -30,7 +30,7 @@
   // Of targets, since the store was away just before.
   std::uint64_t removals_delayed = 0;
   std::size_t followers = 0;
-  follower_counters telling;
+  follower_counters publishing;
   view_sharing_counters sharing;
   // How long ago it is proven to have been the newest; nothing if never.
   std::optional<milliseconds> proven_age;
--- a/src/forward/lapsed_targets.cc
+++ b/src/forward/lapsed_targets.cc
@@ -15,8 +15,9 @@
 
 bool lapsed_targets::IsVouched(const target_entry& entry,
                                time_point now) const {
-  const auto found = vouchers_.find(entry.address.ip);
-  return found != vouchers_.end() && now - found->second.answered <= kHolds &&
+  const auto found = vouchings_.find(entry.address.ip);
+  return found != vouchings_.end() &&
+         now - found->second.answered <= kVouchingLease &&
          found->second.start == StartName(entry);
 }
 
@@ -38,10 +39,11 @@
                                const std::string& start,
                                time_point answered) {
   if (start.empty()) {
-    vouchers_.erase(ip);
+    vouchings_.erase(ip);
     return;
   }
-  vouchers_.insert_or_assign(ip, voucher{.start = start, .answered = answered});
+  vouchings_.insert_or_assign(ip,
+                              vouching{.start = start, .answered = answered});
 }
 
 std::vector<target_entry> lapsed_targets::Kept(time_point now) const {
@@ -61,10 +63,10 @@
     }
   }
   std::erase_if(removed_, [&](const auto& each) {
-    return now - each.second.last_needed > kRemembered;
+    return now - each.second.last_needed > kRetention;
   });
-  std::erase_if(vouchers_, [&](const auto& each) {
-    return now - each.second.answered > kHolds;
+  std::erase_if(vouchings_, [&](const auto& each) {
+    return now - each.second.answered > kVouchingLease;
   });
 }
 
--- a/src/forward/process_load.cc
+++ b/src/forward/process_load.cc
@@ -11,9 +11,9 @@
 namespace {
 
 // What a daemon may use for control.
-constexpr std::size_t kMostHeapBytes = 32 << 20;
+constexpr std::size_t kMaxHeapBytes = 32 << 20;
 // Longer than a machine that shares its processor is held up.
-constexpr milliseconds kMostLag{100};
+constexpr milliseconds kMaxLag{100};
 
 }  // namespace
 
@@ -22,8 +22,8 @@
   return info.uordblks + info.hblkhd;
 }
 
-bool IsStrained(const process_load& load) {
-  return load.lag > kMostLag || load.heap_bytes > kMostHeapBytes;
+bool ExceedsThresholds(const process_load& load) {
+  return load.lag > kMaxLag || load.heap_bytes > kMaxHeapBytes;
 }
 
 void LogProcessLoad(const process_load& load) {
--- a/src/forward/process_load.h
+++ b/src/forward/process_load.h
@@ -24,7 +24,7 @@
 [[nodiscard]] std::size_t HeapBytes();
 
 // Whether either figure is beyond what a daemon should need.
-[[nodiscard]] bool IsStrained(const process_load& load);
+[[nodiscard]] bool ExceedsThresholds(const process_load& load);
 
 void LogProcessLoad(const process_load& load);
 
--- a/src/forward/view_following.cc
+++ b/src/forward/view_following.cc
@@ -11,16 +11,16 @@
 
 // By a hash of the address: the same at all daemons, and unlike the order of
 // the addresses themselves, which are given out service by service.
-void SortByPlace(std::vector<std::string>* ips) {
-  std::vector<std::pair<std::uint64_t, std::string>> places;
-  places.reserve(ips->size());
+void SortByHash(std::vector<std::string>* ips) {
+  std::vector<std::pair<std::uint64_t, std::string>> hashed;
+  hashed.reserve(ips->size());
   for (std::string& ip : *ips) {
-    const std::uint64_t place = XXH3_64bits(ip.data(), ip.size());
-    places.emplace_back(place, std::move(ip));
+    const std::uint64_t position = XXH3_64bits(ip.data(), ip.size());
+    hashed.emplace_back(position, std::move(ip));
   }
-  std::ranges::sort(places);
+  std::ranges::sort(hashed);
   ips->clear();
-  for (auto& [place, ip] : places) {
+  for (auto& [position, ip] : hashed) {
     if (ips->empty() || ips->back() != ip) {
       ips->push_back(std::move(ip));
     }
@@ -36,95 +36,95 @@
 view_following::view_following(view_following_options options)
     : options_(std::move(options)) {}
 
-void view_following::SetDaemons(const std::vector<daemon_place>& daemons) {
-  near_.clear();
-  far_.clear();
-  for (const daemon_place& each : daemons) {
-    const bool near = each.data_centre == options_.self.data_centre;
-    (near ? near_ : far_).push_back(each.ip);
+void view_following::SetDaemons(const std::vector<daemon_location>& daemons) {
+  local_.clear();
+  remote_.clear();
+  for (const daemon_location& each : daemons) {
+    const bool local = each.data_centre == options_.self.data_centre;
+    (local ? local_ : remote_).push_back(each.ip);
   }
-  SortByPlace(&near_);
-  SortByPlace(&far_);
+  SortByHash(&local_);
+  SortByHash(&remote_);
 }
 
 void view_following::OnReport(const std::string& ip,
                               milliseconds age,
                               bool same,
                               time_point now) {
-  if (age > options_.alone) {
+  if (age > options_.max_age) {
     return;
   }
   if (same) {
-    // The age says nothing of the report's own way. What two daemons tell each
-    // other on every frame would get no older, and keep both fresh.
-    const milliseconds way =
-        age > milliseconds(0) ? kReportWay : milliseconds(0);
-    confirmed_ = std::max(confirmed_, now - age - way);
+    // The age says nothing of the report's own delay. What two daemons tell
+    // each other on every frame would get no older, and keep both fresh.
+    const milliseconds delay =
+        age > milliseconds(0) ? kReportDelay : milliseconds(0);
+    confirmed_ = std::max(confirmed_, now - age - delay);
   }
   const auto known = sources_.find(ip);
   if (known == sources_.end()) {
     return;
   }
   if (age == milliseconds(0) || !known->second.should_read) {
-    known->second.reported = now;
-    known->second.lost.reset();
+    known->second.last_report = now;
+    known->second.excluded_since.reset();
   }
 }
 
 void view_following::OnLost(const std::string& ip, time_point now) {
   const auto known = sources_.find(ip);
-  if (known != sources_.end() && !known->second.lost) {
-    known->second.lost = now;
+  if (known != sources_.end() && !known->second.excluded_since) {
+    known->second.excluded_since = now;
   }
 }
 
-void view_following::OnReading(bool well) {
-  reads_well_ = well;
-  reads_badly_ = !well;
+void view_following::OnReadResult(bool ok) {
+  last_read_ok_ = ok;
+  last_read_failed_ = !ok;
 }
 
 milliseconds view_following::Age(time_point now) const {
-  if (reads_well_) {
+  if (last_read_ok_) {
     return milliseconds(0);
   }
   return std::max(milliseconds(1),
                   std::chrono::duration_cast<milliseconds>(now - confirmed_));
 }
 
-bool view_following::IsPassedOver(const std::string& ip, time_point now) const {
+bool view_following::IsExcluded(const std::string& ip, time_point now) const {
   const auto known = sources_.find(ip);
-  return known != sources_.end() && known->second.lost &&
-         now - *known->second.lost < options_.passed_over;
+  return known != sources_.end() && known->second.excluded_since &&
+         now - *known->second.excluded_since < options_.exclusion;
 }
 
 // A source speaks several times within `silence`. If this daemon itself stood
 // still meanwhile, it has not listened, and nobody is to blame.
-void view_following::JudgeSources(time_point now) {
-  const bool stood_still = now - planned_ > options_.silence;
-  planned_ = now;
-  if (stood_still && listens_since_) {
-    listens_since_ = now;
+void view_following::ExpireSources(time_point now) {
+  const bool was_stalled = now - last_plan_ > options_.source_timeout;
+  last_plan_ = now;
+  if (was_stalled && listening_since_) {
+    listening_since_ = now;
   }
   for (auto& [ip, each] : sources_) {
-    if (stood_still) {
+    if (was_stalled) {
       each.since = now;
     }
-    if (!each.lost &&
-        now - std::max(each.since, each.reported) > options_.silence) {
-      each.lost = now;
+    if (!each.excluded_since && now - std::max(each.since, each.last_report) >
+                                    options_.source_timeout) {
+      each.excluded_since = now;
     }
   }
   std::erase_if(sources_, [&](const auto& entry) {
-    return entry.second.lost && !IsPassedOver(entry.first, now);
+    return entry.second.excluded_since && !IsExcluded(entry.first, now);
   });
 }
 
 std::vector<std::string> view_following::Serving(time_point now) const {
   std::vector<std::string> serving;
-  for (const std::string& ip : near_) {
+  for (const std::string& ip : local_) {
     // A daemon that the store fails can't read for others.
     const bool serves =
-        ip == options_.self.ip ? !reads_badly_ : !IsPassedOver(ip, now);
+        ip == options_.self.ip ? !last_read_failed_ : !IsExcluded(ip, now);
     if (serves) {
       serving.push_back(ip);
     }
@@ -133,9 +133,9 @@
 }
 
 bool view_following::IsAmongFirst(const std::vector<std::string>& order) const {
-  const auto place = std::ranges::find(order, options_.self.ip);
-  return place != order.end() &&
-         static_cast<std::size_t>(place - order.begin()) < options_.readers;
+  const auto position = std::ranges::find(order, options_.self.ip);
+  return position != order.end() &&
+         static_cast<std::size_t>(position - order.begin()) < options_.readers;
 }
 
 // Pairs of daemons that stand one behind the other serve groups of `fan_out`:
@@ -143,12 +143,12 @@
 // second group, and so on.
 std::vector<std::string> view_following::Sources(
     const std::vector<std::string>& serving,
-    std::size_t own_place,
+    std::size_t own_index,
     time_point now) const {
   const std::size_t pair = options_.readers;
   std::size_t begin = 0;
-  if (own_place >= pair) {
-    begin = pair * ((own_place - pair) / options_.fan_out);
+  if (own_index >= pair) {
+    begin = pair * ((own_index - pair) / options_.fan_out);
   }
   std::vector<std::string> sources;
   for (std::size_t i = begin; i < begin + pair && i < serving.size(); ++i) {
@@ -167,89 +167,90 @@
 void view_following::AddRemote(std::vector<std::string>* sources,
                                time_point now) const {
   const std::size_t most = sources->size() + options_.readers;
-  for (const std::string& ip : far_) {
-    if (sources->size() < most && !IsPassedOver(ip, now)) {
+  for (const std::string& ip : remote_) {
+    if (sources->size() < most && !IsExcluded(ip, now)) {
       sources->push_back(ip);
     }
   }
 }
 
 // Those that are passed over are kept until then: a report of theirs ends that.
-void view_following::Choose(const std::vector<std::string>& sources,
-                            const std::vector<std::string>& serving,
-                            time_point now) {
+void view_following::SetSources(const std::vector<std::string>& sources,
+                                const std::vector<std::string>& serving,
+                                time_point now) {
   std::erase_if(sources_, [&](const auto& entry) {
-    return !entry.second.lost && !Contains(sources, entry.first);
+    return !entry.second.excluded_since && !Contains(sources, entry.first);
   });
   const auto front =
       static_cast<std::ptrdiff_t>(std::min(serving.size(), options_.readers));
   for (const std::string& ip : sources) {
-    source& chosen =
-        sources_
-            .try_emplace(ip, source{.since = now, .reported = {}, .lost = {}})
-            .first->second;
-    const bool in_front = std::find(serving.begin(), serving.begin() + front,
-                                    ip) != serving.begin() + front;
-    if (in_front && !chosen.should_read) {
+    source& chosen = sources_
+                         .try_emplace(ip, source{.since = now,
+                                                 .last_report = {},
+                                                 .excluded_since = {}})
+                         .first->second;
+    const bool should_read = std::find(serving.begin(), serving.begin() + front,
+                                       ip) != serving.begin() + front;
+    if (should_read && !chosen.should_read) {
       chosen.since = now;  // From now on it should.
     }
-    chosen.should_read = in_front;
+    chosen.should_read = should_read;
   }
 }
 
 // Of a source that is passed over a report is still wanted: it ends that. Only
 // of those in front, which others turn to first; while the store is away for
 // everybody, all sources are passed over one after the other.
-void view_following::AddPassedOver(std::vector<std::string>* sources) const {
-  const std::size_t most = std::min(near_.size(), 2 * options_.readers);
+void view_following::AddExcluded(std::vector<std::string>* sources) const {
+  const std::size_t most = std::min(local_.size(), 2 * options_.readers);
   for (std::size_t i = 0; i < most; ++i) {
-    const auto known = sources_.find(near_[i]);
-    if (known != sources_.end() && known->second.lost &&
-        !Contains(*sources, near_[i])) {
-      sources->push_back(near_[i]);
+    const auto known = sources_.find(local_[i]);
+    if (known != sources_.end() && known->second.excluded_since &&
+        !Contains(*sources, local_[i])) {
+      sources->push_back(local_[i]);
     }
   }
 }
 
 store_reading view_following::Reading(const std::vector<std::string>& serving,
                                       time_point now) const {
-  if (IsAmongFirst(serving) && !reads_badly_) {
+  if (IsAmongFirst(serving) && !last_read_failed_) {
     return store_reading::kEager;
   }
   const bool alone =
-      !listens_since_ ||
-      now - std::max(confirmed_, *listens_since_) > options_.alone;
+      !listening_since_ ||
+      now - std::max(confirmed_, *listening_since_) > options_.max_age;
   if (!alone) {
-    return reads_badly_ ? store_reading::kPatient : store_reading::kNone;
+    return last_read_failed_ ? store_reading::kPatient : store_reading::kNone;
   }
-  const bool few = near_.size() + far_.size() <= options_.readers;
-  return few || IsAmongFirst(near_) ? store_reading::kEager
-                                    : store_reading::kPatient;
+  const bool few = local_.size() + remote_.size() <= options_.readers;
+  return few || IsAmongFirst(local_) ? store_reading::kEager
+                                     : store_reading::kPatient;
 }
 
 following_plan view_following::Plan(time_point now) {
-  JudgeSources(now);
+  ExpireSources(now);
   std::vector<std::string> serving = Serving(now);
-  const bool nobody_serves = serving.empty();
-  if (nobody_serves) {
-    serving = near_;
+  const bool none_serving = serving.empty();
+  if (none_serving) {
+    serving = local_;
   }
-  const auto place = std::ranges::find(serving, options_.self.ip);
+  const auto position = std::ranges::find(serving, options_.self.ip);
   following_plan plan;
-  plan.sources =
-      Sources(serving, static_cast<std::size_t>(place - serving.begin()), now);
+  plan.sources = Sources(
+      serving, static_cast<std::size_t>(position - serving.begin()), now);
   // The store may turn the whole data centre away, and serve the others.
-  if (nobody_serves) {
+  if (none_serving) {
     AddRemote(&plan.sources, now);
   }
-  Choose(plan.sources, serving, now);
-  if (!plan.sources.empty() && !listens_since_) {
-    listens_since_ = now;
+  SetSources(plan.sources, serving, now);
+  if (!plan.sources.empty() && !listening_since_) {
+    listening_since_ = now;
   }
-  AddPassedOver(&plan.sources);
+  AddExcluded(&plan.sources);
   plan.reading = Reading(serving, now);
   if (plan.reading == store_reading::kNone) {
-    reads_well_ = false;
+    last_read_ok_ = false;
   }
   return plan;
 }
--- a/src/forward/view_freshness.cc
+++ b/src/forward/view_freshness.cc
@@ -5,7 +5,7 @@
 
 namespace pistachioweir {
 
-void view_freshness::Adopt(boot_time proven) {
+void view_freshness::Advance(boot_time proven) {
   proven_ = proven_ ? std::max(*proven_, proven) : proven;
 }
 
@@ -15,17 +15,17 @@
   }
   const boot_time proven = asked - proof.age;
   if (proof.revision <= revision_) {
-    Adopt(proven);
-  } else if (!ahead_ || proven > ahead_->proven) {
-    ahead_ = moment{.revision = proof.revision, .proven = proven};
+    Advance(proven);
+  } else if (!pending_ || proven > pending_->proven) {
+    pending_ = pending_proof{.revision = proof.revision, .proven = proven};
   }
 }
 
 void view_freshness::SetRevision(std::uint64_t revision) {
   revision_ = std::max(revision_, revision);
-  if (ahead_ && ahead_->revision <= revision_) {
-    Adopt(ahead_->proven);
-    ahead_.reset();
+  if (pending_ && pending_->revision <= revision_) {
+    Advance(pending_->proven);
+    pending_.reset();
   }
 }
 
--- a/src/forward/view_sharing.cc
+++ b/src/forward/view_sharing.cc
@@ -14,21 +14,21 @@
 constexpr milliseconds kHeartbeatInterval{250};
 // The store answers within some 10 ms of a start, so that nobody is asked as
 // long as it is well; a caller hardly notices the time.
-constexpr milliseconds kFirstQuestion{100};
-constexpr milliseconds kNextQuestion{300};
+constexpr milliseconds kFirstAskDelay{100};
+constexpr milliseconds kAskInterval{300};
 // Another daemon knows of a newer change. Sources tell of changes within some
 // 10 ms; after this time they are doubted and the other one is asked.
-constexpr milliseconds kAskPatience{100};
+constexpr milliseconds kAskDelay{100};
 // After the target's entry has vanished the daemon reads the store by itself
 // for this long: as long as other daemons keep the target in case that it
 // lives.
-constexpr milliseconds kOwnGoneReads{6000};
+constexpr milliseconds kReadAfterUnlisted{6000};
 
 // Of the oldest view that keys may be judged by: from the first part on the
 // daemons that are followed are asked for a newer proof, from the second on
 // some others as well.
-constexpr int kAskSourcesPart = 5;
-constexpr int kAskOthersPart = 2;
+constexpr int kAskSourcesDivisor = 5;
+constexpr int kAskOthersDivisor = 2;
 constexpr std::size_t kOthersAsked = 3;
 
 std::string Joined(const std::vector<std::string>& ips) {
@@ -43,16 +43,16 @@
 
 view_sharing::view_sharing(boost::asio::io_context& context,
                            view_sharing_options options,
-                           view_sharing_parts parts)
+                           view_sharing_callbacks callbacks)
     : options_(std::move(options)),
-      parts_(std::move(parts)),
+      callbacks_(std::move(callbacks)),
       heartbeat_(context),
       ask_(context),
       start_(context),
       following_({.self = options_.self}) {}
 
 void view_sharing::Start() {
-  AskConnected(kFirstQuestion);
+  AskConnected(kFirstAskDelay);
   Heartbeat();
 }
 
@@ -70,12 +70,12 @@
 // While the store has not answered yet, others that are connected are asked for
 // all that they know (guard EMPTY_TELLS_NOTHING in spec/shared_views.pml: a
 // fleet that starts as a whole while the store is away goes on refusing).
-void view_sharing::AskConnected(milliseconds pause) {
-  start_.expires_after(pause);
+void view_sharing::AskConnected(milliseconds delay) {
+  start_.expires_after(delay);
   start_.async_wait([this](boost::system::error_code error) {
     if (!error && !stopped_ && revision() == 0) {
-      parts_.ask_connected(0);
-      AskConnected(kNextQuestion);
+      callbacks_.ask_connected(0);
+      AskConnected(kAskInterval);
     }
   });
 }
@@ -85,11 +85,11 @@
   if (options_.readers == reader_policy::kFew) {
     Plan(now);
   } else {
-    following_.OnReading(parts_.state().reads_well);
+    following_.OnReadResult(callbacks_.state().last_read_ok);
   }
   frame_ = nullptr;
   AskProofs();
-  parts_.heartbeat();
+  callbacks_.heartbeat();
   heartbeat_.expires_after(kHeartbeatInterval);
   heartbeat_.async_wait([this](boost::system::error_code error) {
     if (!error && !stopped_) {
@@ -100,15 +100,15 @@
 
 void view_sharing::Plan(time_point now) {
   if (reading_ != store_reading::kNone) {
-    const view_state state = parts_.state();
-    if (state.reads_well || state.lost_since) {
-      following_.OnReading(state.reads_well);
+    const view_state state = callbacks_.state();
+    if (state.last_read_ok || state.lost_since) {
+      following_.OnReadResult(state.last_read_ok);
     }
   }
   following_plan plan = following_.Plan(now);
   // Whether the target has left, or its VM is cut off from the store, shows by
   // a call alone.
-  if (own_gone_ && now - *own_gone_ < kOwnGoneReads) {
+  if (own_unlisted_since_ && now - *own_unlisted_since_ < kReadAfterUnlisted) {
     plan.reading = store_reading::kEager;
   }
   if (plan.sources != sources_ || plan.reading != reading_) {
@@ -120,14 +120,14 @@
               {.name = "revision", .value = std::to_string(revision())},
               {.name = "age_ms", .value = std::to_string(age().count())}});
     sources_ = std::move(plan.sources);
-    parts_.follow(sources_);
+    callbacks_.follow(sources_);
   }
   reading_ = plan.reading;
-  parts_.set_reading(reading_);
+  callbacks_.set_reading(reading_);
 }
 
 void view_sharing::OnView(const service_view& view) {
-  std::vector<daemon_place> daemons;
+  std::vector<daemon_location> daemons;
   bool own_listed = false;
   bool own_ready = false;
   for (const target_entry& target : view.targets) {
@@ -144,9 +144,9 @@
   }
   following_.SetDaemons(daemons);
   if (own_listed) {
-    own_gone_.reset();
+    own_unlisted_since_.reset();
   } else if (own_ready_) {
-    own_gone_ = monotonic_clock::now();
+    own_unlisted_since_ = monotonic_clock::now();
   }
   own_ready_ = own_ready;
   // The first view that names others ends the start: the next heartbeat would
@@ -157,14 +157,14 @@
   }
 }
 
-void view_sharing::OnNews(const std::string& from) {
+void view_sharing::OnUpdate(const std::string& from) {
   frame_ = nullptr;
-  parts_.tell_followers(from);
+  callbacks_.notify_followers(from);
 }
 
 void view_sharing::OnReport(const std::string& ip,
                             const neighbour_report& report) {
-  parts_.note_revision(report.revision);
+  callbacks_.note_revision(report.revision);
   NoteStoreAnswer(ip, report);
   if (options_.readers == reader_policy::kAll) {
     return;
@@ -174,10 +174,10 @@
     following_.OnReport(ip, report.age, report.revision == known,
                         monotonic_clock::now());
   }
-  if (report.revision > known && report.revision >= heard_) {
-    heard_ = report.revision;
-    teller_ = ip;
-    ArmAsk(kAskPatience);
+  if (report.revision > known && report.revision >= newest_reported_) {
+    newest_reported_ = report.revision;
+    newest_reporter_ = ip;
+    ArmAsk(kAskDelay);
   }
 }
 
@@ -187,17 +187,17 @@
     return;
   }
   const time_point at = monotonic_clock::now() - *report.store_answered_ago;
-  parts_.note_store_answer(at);
+  callbacks_.note_store_answer(at);
   if (std::ranges::find(sources_, ip) != sources_.end()) {
-    source_answered_ = std::max(source_answered_,
-                                std::optional(at - view_following::kReportWay));
+    source_answered_ = std::max(
+        source_answered_, std::optional(at - view_following::kReportDelay));
   }
 }
 
 std::optional<milliseconds> view_sharing::store_answered_ago() const {
   const auto answered = reading_ == store_reading::kNone
                             ? source_answered_
-                            : parts_.state().store_answered;
+                            : callbacks_.state().store_answered;
   if (!answered) {
     return std::nullopt;
   }
@@ -211,51 +211,52 @@
 
 // Sources may be cut off, or may have missed something themselves; whoever
 // knows of more can say what.
-void view_sharing::ArmAsk(milliseconds patience) {
+void view_sharing::ArmAsk(milliseconds delay) {
   if (std::exchange(ask_armed_, true)) {
     return;
   }
-  ask_.expires_after(patience);
+  ask_.expires_after(delay);
   ask_.async_wait([this](boost::system::error_code error) {
     if (error || stopped_) {
       return;
     }
     ask_armed_ = false;
-    if (heard_ <= revision()) {
+    if (newest_reported_ <= revision()) {
       return;
     }
     ++counters_.asked;
     LogEvent("changes_asked",
-             {{.name = "peer", .value = teller_},
+             {{.name = "peer", .value = newest_reporter_},
               {.name = "revision", .value = std::to_string(revision())},
-              {.name = "heard", .value = std::to_string(heard_)}});
-    parts_.ask(teller_);
-    ArmAsk(kNextQuestion);
+              {.name = "heard", .value = std::to_string(newest_reported_)}});
+    callbacks_.ask(newest_reporter_);
+    ArmAsk(kAskInterval);
   });
 }
 
-void view_sharing::OnChanges(const view_changes& told) {
+void view_sharing::OnChanges(const view_changes& changes) {
   const std::uint64_t before = revision();
-  const told_changes_verdict verdict = parts_.apply(told);
-  const bool taken = verdict == told_changes_verdict::kTaken;
-  ++(taken ? counters_.taken : counters_.useless);
+  const changes_verdict verdict = callbacks_.apply(changes);
+  const bool taken = verdict == changes_verdict::kTaken;
+  ++(taken ? counters_.taken : counters_.not_applied);
   if (taken) {
-    CountAge(told.learnt_ago);
+    CountAge(changes.read_ago);
   }
   // Two sources tell everything twice.
-  if (verdict == told_changes_verdict::kNotNewer) {
+  if (verdict == changes_verdict::kNotNewer) {
     return;
   }
-  LogEvent("changes_told",
-           {{.name = "verdict",
-             .value = std::string(kToldChangesVerdictNames.Name(verdict))},
-            {.name = "from", .value = told.from},
-            {.name = "after", .value = std::to_string(told.after)},
-            {.name = "revision", .value = std::to_string(told.revision)},
-            {.name = "before", .value = std::to_string(before)},
-            {.name = "entries", .value = std::to_string(told.entries.size())},
-            {.name = "learnt_ms",
-             .value = std::to_string(told.learnt_ago.count())}});
+  LogEvent(
+      "changes_told",
+      {{.name = "verdict",
+        .value = std::string(kChangesVerdictNames.Name(verdict))},
+       {.name = "from", .value = changes.from},
+       {.name = "after", .value = std::to_string(changes.after)},
+       {.name = "revision", .value = std::to_string(changes.revision)},
+       {.name = "before", .value = std::to_string(before)},
+       {.name = "entries", .value = std::to_string(changes.entries.size())},
+       {.name = "learnt_ms",
+        .value = std::to_string(changes.read_ago.count())}});
 }
 
 // While any neighbour has a newer proof, requests with good keys go on.
@@ -264,11 +265,11 @@
     return;
   }
   const auto age = proven_age();
-  if (age && *age < options_.max_key_age / kAskSourcesPart) {
+  if (age && *age < options_.max_key_age / kAskSourcesDivisor) {
     return;
   }
-  const bool old = !age || *age > options_.max_key_age / kAskOthersPart;
-  parts_.ask_proofs(sources_, old ? kOthersAsked : 0);
+  const bool old = !age || *age > options_.max_key_age / kAskOthersDivisor;
+  callbacks_.ask_proofs(sources_, old ? kOthersAsked : 0);
 }
 
 void view_sharing::OnProof(const freshness_proof& proof, boot_time asked) {
@@ -276,7 +277,7 @@
 }
 
 std::optional<milliseconds> view_sharing::proven_age() {
-  const view_state state = parts_.state();
+  const view_state state = callbacks_.state();
   freshness_.SetRevision(state.revision);
   if (state.store_asked) {
     freshness_.Confirm({.revision = state.revision}, *state.store_asked);
@@ -306,7 +307,7 @@
   if (frame_ != nullptr && framed_after_ == revision) {
     return frame_;
   }
-  const auto changes = parts_.changes_since(revision);
+  const auto changes = callbacks_.changes_since(revision);
   if (!changes) {
     return nullptr;
   }
--- a/src/forward/view_sharing.h
+++ b/src/forward/view_sharing.h
@@ -25,7 +25,7 @@
 namespace pistachioweir {
 
 struct view_sharing_options {
-  daemon_place self;
+  daemon_location self;
   endpoint own_target;
   reader_policy readers = reader_policy::kFew;
   // How old the view may be proven to be before API keys can't be judged by it;
@@ -34,13 +34,13 @@
 };
 
 // What the daemon's other parts do for it.
-struct view_sharing_parts {
+struct view_sharing_callbacks {
   // The source of views.
   std::function<view_state()> state;
   std::function<void(store_reading)> set_reading;
   std::function<void(std::uint64_t revision)> note_revision;
   std::function<void(time_point at)> note_store_answer;
-  std::function<told_changes_verdict(const view_changes&)> apply;
+  std::function<changes_verdict(const view_changes&)> apply;
   std::function<std::optional<view_changes>(std::uint64_t revision)>
       changes_since;
   // Connections to other daemons.
@@ -50,16 +50,16 @@
       ask_proofs;
   // Connections from other daemons.
   std::function<void(std::uint64_t revision)> ask_connected;
-  std::function<void(const std::string& except)> tell_followers;
+  std::function<void(const std::string& except)> notify_followers;
   std::function<void()> heartbeat;
 };
 
 struct view_sharing_counters {
   static constexpr std::array<int, 6> kBounds = {10, 30, 100, 300, 1000, 3000};
 
-  std::uint64_t taken = 0;    // Frames of changes that had news.
-  std::uint64_t useless = 0;  // And that had none, or too late a beginning.
-  std::uint64_t asked = 0;    // Another daemon, since it knew of more.
+  std::uint64_t taken = 0;        // Frames of changes that had news.
+  std::uint64_t not_applied = 0;  // And that had none, or too late a beginning.
+  std::uint64_t asked = 0;        // Another daemon, since it knew of more.
   // Of those taken, by the milliseconds since a daemon read them at the store:
   // up to each bound, and beyond the last.
   std::array<std::uint64_t, kBounds.size() + 1> by_age{};
@@ -71,7 +71,7 @@
  public:
   view_sharing(boost::asio::io_context& context,
                view_sharing_options options,
-               view_sharing_parts parts);
+               view_sharing_callbacks callbacks);
 
   void Start();
   void Stop();
@@ -80,7 +80,7 @@
   void OnView(const service_view& view);
   // More is known than before, told by the daemon at `from`, or read if that is
   // empty.
-  void OnNews(const std::string& from);
+  void OnUpdate(const std::string& from);
   void OnReport(const std::string& ip, const neighbour_report& report);
   // The daemon at `ip` can't be reached, or is stopping.
   void OnLost(const std::string& ip);
@@ -92,7 +92,7 @@
   [[nodiscard]] std::shared_ptr<const std::string> FrameSince(
       std::uint64_t revision);
   [[nodiscard]] std::uint64_t revision() const {
-    return parts_.state().revision;
+    return callbacks_.state().revision;
   }
   // How long ago a daemon that reads the store confirmed the view.
   [[nodiscard]] milliseconds age() const;
@@ -110,14 +110,14 @@
  private:
   void Heartbeat();
   void Plan(time_point now);
-  void AskConnected(milliseconds pause);
-  void ArmAsk(milliseconds patience);
+  void AskConnected(milliseconds delay);
+  void ArmAsk(milliseconds delay);
   void AskProofs();
   void CountAge(milliseconds age);
   void NoteStoreAnswer(const std::string& ip, const neighbour_report& report);
 
   const view_sharing_options options_;
-  const view_sharing_parts parts_;
+  const view_sharing_callbacks callbacks_;
   boost::asio::steady_timer heartbeat_;
   boost::asio::steady_timer ask_;
   boost::asio::steady_timer start_;
@@ -126,8 +126,8 @@
   store_reading reading_ = store_reading::kEager;
   std::vector<std::string> sources_;
   // The newest change that another daemon told of, and which one.
-  std::uint64_t heard_ = 0;
-  std::string teller_;
+  std::uint64_t newest_reported_ = 0;
+  std::string newest_reporter_;
   bool ask_armed_ = false;
   // The newest answer of the store that a source told of. What daemons that are
   // not followed tell isn't told on: it would go round in circles, and each
@@ -136,7 +136,7 @@
   // Whether the target beside the daemon was listed as ready, and since when it
   // isn't listed any more.
   bool own_ready_ = false;
-  std::optional<time_point> own_gone_;
+  std::optional<time_point> own_unlisted_since_;
   // The last frame that was made, for all followers that know as much.
   std::uint64_t framed_after_ = 0;
   std::shared_ptr<const std::string> frame_;
--- a/src/peer/changes_frame.cc
+++ b/src/peer/changes_frame.cc
@@ -45,7 +45,7 @@
                                     : milliseconds(0);
   writer.Put(changes.after)
       .Put(changes.revision)
-      .Put(changes.learnt_ago)
+      .Put(changes.read_ago)
       .Put(returned);
   for (const stored_entry& entry : changes.entries) {
     writer.Put(entry.key)
@@ -62,7 +62,7 @@
   view_changes changes;
   changes.after = reader.Unsigned();
   changes.revision = reader.Unsigned();
-  changes.learnt_ago = ReadTime(reader);
+  changes.read_ago = ReadTime(reader);
   const milliseconds returned = ReadTime(reader);
   if (returned > milliseconds(0)) {
     changes.returned_ago = returned - milliseconds(1);
--- a/tests/changes_frame_test.cc
+++ b/tests/changes_frame_test.cc
@@ -16,7 +16,7 @@
 view_changes Changes(std::uint64_t after, std::size_t entries) {
   view_changes changes{.after = after,
                        .revision = after + entries,
-                       .learnt_ago = milliseconds(1500),
+                       .read_ago = milliseconds(1500),
                        .returned_ago = milliseconds(0)};
   for (std::size_t i = 0; i < entries; ++i) {
     changes.entries.push_back({.key = "key-" + std::to_string(i),
@@ -41,7 +41,7 @@
   ASSERT_TRUE(read.has_value());
   EXPECT_EQ(read->after, 98U);
   EXPECT_EQ(read->revision, 103U);
-  EXPECT_EQ(read->learnt_ago, milliseconds(1500));
+  EXPECT_EQ(read->read_ago, milliseconds(1500));
   EXPECT_EQ(read->returned_ago, milliseconds(0));
   EXPECT_EQ(read->entries, changes.entries);
 }
--- a/tests/lapsed_targets_test.cc
+++ b/tests/lapsed_targets_test.cc
@@ -92,8 +92,9 @@
   List({1}, kStart);
   Vouch(1, kStart);
   List({}, kStart);
-  EXPECT_EQ(kept(kStart + lapsed_targets::kHolds), 1U);
-  EXPECT_EQ(kept(kStart + lapsed_targets::kHolds + milliseconds(1)), 0U);
+  EXPECT_EQ(kept(kStart + lapsed_targets::kVouchingLease), 1U);
+  EXPECT_EQ(kept(kStart + lapsed_targets::kVouchingLease + milliseconds(1)),
+            0U);
 }
 
 // The daemon's connection to the store dies without a sign, and it finds out
@@ -110,7 +111,7 @@
   List({1}, kStart);
   List({}, kStart);
   const time_point later =
-      kStart + lapsed_targets::kRemembered + milliseconds(1);
+      kStart + lapsed_targets::kRetention + milliseconds(1);
   targets_.Expire(later);
   Vouch(1, later);
   EXPECT_EQ(kept(later), 0U);
@@ -183,7 +184,7 @@
       const int number = kept.id.back() - '0';
       RC_ASSERT(!listed[number]);
       RC_ASSERT(word[number] != time_point());
-      RC_ASSERT(now - word[number] <= lapsed_targets::kHolds);
+      RC_ASSERT(now - word[number] <= lapsed_targets::kVouchingLease);
     }
   }
 }
@@ -202,12 +203,12 @@
 };
 
 TEST_F(target_vouching_test, SpeaksForALiveTargetWhileTheStoreIsLost) {
-  EXPECT_EQ(vouching_.Vouched(lost_, kStart), kTarget);
+  EXPECT_EQ(vouching_.VouchedStart(lost_, kStart), kTarget);
 }
 
 // A target that vanishes from a store that its daemon reads has left.
 TEST_F(target_vouching_test, SaysNothingWhileTheStoreIsRead) {
-  EXPECT_EQ(vouching_.Vouched({.revision = 7}, kStart), "");
+  EXPECT_EQ(vouching_.VouchedStart({.revision = 7}, kStart), "");
 }
 
 // Six VMs are cut off from the store alone, and others tell their daemons that
@@ -217,10 +218,10 @@
 TEST_F(target_vouching_test, HearingThatTheEntryHasVanishedEndsNothing) {
   vouching_.SetUnlisted(kStart);
   vouching_.Tick(lost_, kStart + milliseconds(900));
-  EXPECT_EQ(vouching_.Vouched(lost_, kStart + milliseconds(900)), kTarget);
+  EXPECT_EQ(vouching_.VouchedStart(lost_, kStart + milliseconds(900)), kTarget);
   vouching_.OnAnswer(false, kStart + seconds(9));
   vouching_.Tick(lost_, kStart + seconds(9));
-  EXPECT_EQ(vouching_.Vouched(lost_, kStart + seconds(9)), kTarget);
+  EXPECT_EQ(vouching_.VouchedStart(lost_, kStart + seconds(9)), kTarget);
 }
 
 // The target has left, which its daemon sees in the store. When the VM is cut
@@ -230,12 +231,12 @@
   const time_point later = kStart + seconds(3);
   vouching_.Tick({.revision = 7}, later);
   vouching_.OnAnswer(false, later);
-  EXPECT_EQ(vouching_.Vouched(lost_, later), "");
+  EXPECT_EQ(vouching_.VouchedStart(lost_, later), "");
 }
 
 TEST_F(target_vouching_test, OneLostAnswerIsNoLostStore) {
   const view_state just_lost{.lost_since = kStart - milliseconds(100)};
-  EXPECT_EQ(vouching_.Vouched(just_lost, kStart), "");
+  EXPECT_EQ(vouching_.VouchedStart(just_lost, kStart), "");
 }
 
 // A target leaves while the store turns its daemon away: its answers still
@@ -246,7 +247,7 @@
     now += milliseconds(100);
     vouching_.OnAnswer(true, now);
   }
-  EXPECT_EQ(vouching_.Vouched(lost_, now), "");
+  EXPECT_EQ(vouching_.VouchedStart(lost_, now), "");
 }
 
 // Requests of daemons with older views, and those that waited, reached targets
@@ -256,7 +257,7 @@
   EXPECT_TRUE(vouching_.MayServe(reads, kStart));
   vouching_.SetLeaving(kStart);
   const time_point late =
-      kStart + target_vouching::kStillServes + milliseconds(1);
+      kStart + target_vouching::kLeavingGrace + milliseconds(1);
   vouching_.OnAnswer(false, late);
   EXPECT_TRUE(vouching_.MayServe(reads, kStart + milliseconds(900)));
   EXPECT_FALSE(vouching_.MayServe(reads, late));
@@ -269,7 +270,7 @@
 TEST_F(target_vouching_test, AnUnlistedTargetIsServedAsLongAsItsLeaseHolds) {
   vouching_.SetUnlisted(kStart);
   const time_point late =
-      kStart + target_vouching::kStillServes + milliseconds(1);
+      kStart + target_vouching::kLeavingGrace + milliseconds(1);
   EXPECT_FALSE(vouching_.MayServe({.revision = 7}, late));
   EXPECT_TRUE(vouching_.MayServe(lost_, late));
   EXPECT_TRUE(vouching_.MayServe(lost_, kStart + target_vouching::kLease));
@@ -279,32 +280,32 @@
 
 TEST_F(target_vouching_test, AnEndedTargetDoesNotAnswer) {
   const time_point later =
-      kStart + target_vouching::kAnswered + milliseconds(1);
-  EXPECT_EQ(vouching_.Vouched(lost_, later), "");
+      kStart + target_vouching::kMaxAnswerAge + milliseconds(1);
+  EXPECT_EQ(vouching_.VouchedStart(lost_, later), "");
 }
 
 // The store is back, and with it the entry within two seconds if the target
 // reaches it; what is missing after that has gone.
 TEST_F(target_vouching_test, StopsTwoSecondsAfterTheStoresReturn) {
   const view_state back{.regained_at = kStart};
-  EXPECT_EQ(vouching_.Vouched(back, kStart + milliseconds(900)), kTarget);
+  EXPECT_EQ(vouching_.VouchedStart(back, kStart + milliseconds(900)), kTarget);
   const time_point later = kStart + target_vouching::kReturnTime;
   vouching_.OnAnswer(false, later);
-  EXPECT_EQ(vouching_.Vouched(back, later), "");
+  EXPECT_EQ(vouching_.VouchedStart(back, later), "");
 }
 
 // What answered before was another start.
 TEST_F(target_vouching_test, ANewStartMustAnswerFirst) {
   vouching_.SetTarget("i-1@2000");
-  EXPECT_EQ(vouching_.Vouched(lost_, kStart), "");
+  EXPECT_EQ(vouching_.VouchedStart(lost_, kStart), "");
   vouching_.OnAnswer(false, kStart);
-  EXPECT_EQ(vouching_.Vouched(lost_, kStart), "i-1@2000");
+  EXPECT_EQ(vouching_.VouchedStart(lost_, kStart), "i-1@2000");
 }
 
 TEST_F(target_vouching_test, ATargetThatIsNotListedAsReadyGetsNoWord) {
   vouching_.SetTarget("");
   vouching_.OnAnswer(false, kStart);
-  EXPECT_EQ(vouching_.Vouched(lost_, kStart), "");
+  EXPECT_EQ(vouching_.VouchedStart(lost_, kStart), "");
 }
 
 }  // namespace
--- a/tests/leaving_target_test.cc
+++ b/tests/leaving_target_test.cc
@@ -142,12 +142,12 @@
   for (milliseconds after{0}; after <= kDrain; after += milliseconds(50)) {
     const time_point now = left + after;
     vouching.OnAnswer(after > milliseconds(0), now);
-    lapsed.OnVouched(target.address.ip, vouching.Vouched(lost, now),
+    lapsed.OnVouched(target.address.ip, vouching.VouchedStart(lost, now),
                      vouching.answered());
     if (after > kDrain - kRequestWay) {
       EXPECT_TRUE(lapsed.Kept(now).empty()) << after.count();
     }
-    if (vouching.Vouched(lost, now + milliseconds(50)).empty()) {
+    if (vouching.VouchedStart(lost, now + milliseconds(50)).empty()) {
       break;  // No frame comes any more.
     }
   }
--- a/tests/origin_links_test.cc
+++ b/tests/origin_links_test.cc
@@ -174,7 +174,7 @@
   EXPECT_EQ(Ask(), outcome_kind::kCompleted);
   const time_point known = monotonic_clock::now();
   RunUntil(context_, [&] {
-    return monotonic_clock::now() > known + target_vouching::kStillServes;
+    return monotonic_clock::now() > known + target_vouching::kLeavingGrace;
   });
   EXPECT_EQ(Ask(), outcome_kind::kNotExecuted);
   EXPECT_EQ(far.runs, 1);
--- a/tests/peer_link_test.cc
+++ b/tests/peer_link_test.cc
@@ -49,7 +49,7 @@
   return std::make_shared<const std::string>(
       Encode(view_changes{.after = revision,
                           .revision = 40,
-                          .learnt_ago = milliseconds(200),
+                          .read_ago = milliseconds(200),
                           .entries = {{.key = "a", .revision = 40}}}));
 }
 
@@ -484,7 +484,7 @@
   far.server.AskForChanges(0);
   ASSERT_TRUE(RunUntil([&] { return !far.told.empty(); }));
   EXPECT_EQ(far.told[0].revision, 40U);
-  EXPECT_EQ(far.told[0].learnt_ago, milliseconds(200));
+  EXPECT_EQ(far.told[0].read_ago, milliseconds(200));
   EXPECT_EQ(far.told[0].entries.size(), 1U);
   far.server.AskForChanges(40);
   RunFor(milliseconds(50));
--- a/tests/store_contact_test.cc
+++ b/tests/store_contact_test.cc
@@ -53,10 +53,11 @@
 // A daemon that stood still took its own silence for the store's.
 TEST(StoreContactTest, WhoeverStoodStillMissesNoAnswer) {
   const time_point due = kStart;
-  const time_point given_up = due + milliseconds(700);
-  EXPECT_EQ(MissingSince(due, given_up, given_up + milliseconds(5)), due);
-  const time_point woken = given_up + seconds(3);
-  EXPECT_EQ(MissingSince(due, given_up, woken), woken);
+  const time_point abandoned_at = due + milliseconds(700);
+  EXPECT_EQ(UnansweredSince(due, abandoned_at, abandoned_at + milliseconds(5)),
+            due);
+  const time_point woken = abandoned_at + seconds(3);
+  EXPECT_EQ(UnansweredSince(due, abandoned_at, woken), woken);
 }
 
 // Whatever is told in which order, an absence is a silence of all that is
@@ -77,7 +78,8 @@
     if (const auto returned = contact.returned_at()) {
       RC_ASSERT(std::ranges::find(answers, *returned) != answers.end());
       RC_ASSERT(std::ranges::none_of(answers, [&](time_point each) {
-        return each < *returned && *returned - each <= store_contact::kAway;
+        return each < *returned &&
+               *returned - each <= store_contact::kOutageThreshold;
       }));
     }
   }
--- a/tests/store_views_test.cc
+++ b/tests/store_views_test.cc
@@ -70,8 +70,8 @@
                Settings(),
                {.store_calls_per_second = 1,
                 .readers = reader_policy::kAll,
-                .most_pause = kEndlessPause,
-                .least_pause = kEndlessPause},
+                .max_pause = kEndlessPause,
+                .min_pause = kEndlessPause},
                [this](std::shared_ptr<const service_view> view) {
                  view_ = std::move(view);
                }) {
@@ -270,11 +270,11 @@
 TEST_F(shared_store_views_test, AFollowerMakesNoCalls) {
   following_.Start();
   ASSERT_TRUE(RunUntil([&] { return following_.state().revision == 1; }));
-  EXPECT_EQ(following_.Apply(Told(1, 2, "i-1")), told_changes_verdict::kTaken);
+  EXPECT_EQ(following_.Apply(Told(1, 2, "i-1")), changes_verdict::kTaken);
   EXPECT_TRUE(Lists("i-1"));
   RunFor(milliseconds(50));
   EXPECT_EQ(following_.calls(), 1U);
-  EXPECT_FALSE(following_.state().reads_well);
+  EXPECT_FALSE(following_.state().last_read_ok);
 }
 
 // A piece that was told before this one was lost on its way. Taken, it would
@@ -282,10 +282,9 @@
 TEST_F(shared_store_views_test, ToldChangesBehindAGapAreLeft) {
   following_.Start();
   ASSERT_TRUE(RunUntil([&] { return following_.state().revision == 1; }));
-  EXPECT_EQ(following_.Apply(Told(2, 3, "i-1")), told_changes_verdict::kGap);
+  EXPECT_EQ(following_.Apply(Told(2, 3, "i-1")), changes_verdict::kGap);
   EXPECT_EQ(following_.state().revision, 1U);
-  EXPECT_EQ(following_.Apply(Told(0, 1, "i-1")),
-            told_changes_verdict::kNotNewer);
+  EXPECT_EQ(following_.Apply(Told(0, 1, "i-1")), changes_verdict::kNotNewer);
 }
 
 // The store accepts the daemon's question and loses the answer. A neighbour
@@ -302,7 +301,7 @@
                           .value = std::string(kConfig),
                           .created = 1,
                           .revision = 30});
-  EXPECT_EQ(following_.Apply(told), told_changes_verdict::kTaken);
+  EXPECT_EQ(following_.Apply(told), changes_verdict::kTaken);
   EXPECT_TRUE(Lists("i-1"));
 }
 
@@ -314,7 +313,7 @@
   following_.SetReading(store_reading::kEager);
   ASSERT_TRUE(RunUntil([&] { return watches_ == 1; }));
   EXPECT_NE(watch_.target.find("after=2"), std::string::npos);
-  EXPECT_TRUE(following_.state().reads_well);
+  EXPECT_TRUE(following_.state().last_read_ok);
 }
 
 // The readers of a data centre are gone, and this daemon begins to read in
@@ -327,10 +326,10 @@
   RunFor(milliseconds(750));
   following_.SetReading(store_reading::kEager);
   ASSERT_TRUE(RunUntil([&] { return watches_ == 1; }));
-  EXPECT_FALSE(following_.state().reads_well);
+  EXPECT_FALSE(following_.state().last_read_ok);
   EXPECT_TRUE(watch_.target.ends_with("wait-ms=1"));
   Register("i-1", 2);
-  ASSERT_TRUE(RunUntil([&] { return following_.state().reads_well; }));
+  ASSERT_TRUE(RunUntil([&] { return following_.state().last_read_ok; }));
 }
 
 // The VM is cut off from the store alone: its target can't renew its entry, and
@@ -344,7 +343,7 @@
   ASSERT_TRUE(
       RunUntil([&] { return following_.state().lost_since.has_value(); }));
   // And that is no reason to doubt what it is told.
-  EXPECT_EQ(following_.Apply(Told(1, 2, "i-1")), told_changes_verdict::kTaken);
+  EXPECT_EQ(following_.Apply(Told(1, 2, "i-1")), changes_verdict::kTaken);
 }
 
 }  // namespace
--- a/tests/view_following_test.cc
+++ b/tests/view_following_test.cc
@@ -22,9 +22,9 @@
 
 const time_point kStart{seconds(1000)};
 constexpr milliseconds kHeartbeat{250};
-constexpr milliseconds kWay{2};
+constexpr milliseconds kReportTransit{2};
 // Within half of the two seconds that a change may take.
-constexpr milliseconds kInForce{1000};
+constexpr milliseconds kChangeLimit{1000};
 
 std::string IpOf(std::size_t index) {
   return "10." + std::to_string(index / 65536) + "." +
@@ -44,7 +44,7 @@
   };
 
   explicit fleet(const options& of) : options_(of), random_(of.seed) {
-    std::vector<daemon_place> places;
+    std::vector<daemon_location> places;
     for (std::size_t i = 0; i < of.daemons; ++i) {
       places.push_back(
           {.ip = IpOf(i), .data_centre = std::to_string(i % of.data_centres)});
@@ -54,7 +54,7 @@
       daemon next(view_following({.self = places[i]}));
       // Only its own data centre's and a few of the others', which is what it
       // looks at.
-      std::vector<daemon_place> known(
+      std::vector<daemon_location> known(
           places.begin(),
           places.begin() + static_cast<std::ptrdiff_t>(of.data_centres));
       for (std::size_t j = i % of.data_centres; j < of.daemons;
@@ -85,7 +85,8 @@
 
   // Plays for so long; time goes on in steps of a report's way.
   void Run(milliseconds time) {
-    for (const time_point end = now_ + time; now_ < end; now_ += kWay) {
+    for (const time_point end = now_ + time; now_ < end;
+         now_ += kReportTransit) {
       Deliver();
       for (std::size_t i = 0; i < daemons_.size(); ++i) {
         daemon& each = daemons_[i];
@@ -116,18 +117,19 @@
 
   // Of daemons that can be judged, the latest to know of the last change; a day
   // if one doesn't.
-  milliseconds Latest() const {
-    milliseconds latest{0};
+  milliseconds MaxDelay() const {
+    milliseconds max_delay{0};
     for (const daemon& each : daemons_) {
       if (each.frozen || each.cut_off) {
         continue;
       }
-      latest = std::max(latest, each.revision == store_
-                                    ? std::chrono::duration_cast<milliseconds>(
-                                          each.knows_since - changed_)
-                                    : milliseconds(std::chrono::hours(24)));
+      max_delay =
+          std::max(max_delay, each.revision == store_
+                                  ? std::chrono::duration_cast<milliseconds>(
+                                        each.knows_since - changed_)
+                                  : milliseconds(std::chrono::hours(24)));
     }
-    return latest;
+    return max_delay;
   }
 
   std::size_t Readers() const {
@@ -137,7 +139,7 @@
         }));
   }
 
-  std::size_t MostFollowers() const {
+  std::size_t MaxFollowers() const {
     std::size_t most = 0;
     for (const daemon& each : daemons_) {
       most = std::max(most, each.followers.size());
@@ -178,15 +180,15 @@
     if (revision > each.revision) {
       each.revision = revision;
       each.knows_since = now_;
-      TellFollowers(index);
+      NotifyFollowers(index);
     }
   }
 
-  void TellFollowers(std::size_t index) {
+  void NotifyFollowers(std::size_t index) {
     const daemon& each = daemons_[index];
     for (const std::size_t to : each.followers) {
       if (std::generate_canonical<double, 32>(random_) >= options_.loss) {
-        reports_.push_back({.due = now_ + kWay,
+        reports_.push_back({.due = now_ + kReportTransit,
                             .from = index,
                             .to = to,
                             .revision = each.revision,
@@ -199,7 +201,7 @@
     daemon& each = daemons_[index];
     each.heartbeat = now_ + kHeartbeat;
     if (each.reading != store_reading::kNone) {
-      each.following.OnReading(!each.store_fails);
+      each.following.OnReadResult(!each.store_fails);
     }
     const following_plan plan = each.following.Plan(now_);
     if (plan.reading != store_reading::kNone &&
@@ -220,7 +222,7 @@
       // Whoever is asked tells at once what it knows.
       if (daemons_[source].followers.insert(index).second &&
           !daemons_[source].frozen) {
-        reports_.push_back({.due = now_ + 2 * kWay,
+        reports_.push_back({.due = now_ + 2 * kReportTransit,
                             .from = source,
                             .to = index,
                             .revision = daemons_[source].revision,
@@ -228,7 +230,7 @@
       }
     }
     each.sources = std::move(sources);
-    TellFollowers(index);
+    NotifyFollowers(index);
   }
 
   void Read(std::size_t index) {
@@ -238,11 +240,11 @@
       each.next_read =
           now_ + (each.reading == store_reading::kEager ? milliseconds(400)
                                                         : milliseconds(3000));
-      each.following.OnReading(false);
+      each.following.OnReadResult(false);
       return;
     }
     each.next_read = now_ + milliseconds(2500);
-    each.following.OnReading(true);
+    each.following.OnReadResult(true);
     Learn(index, store_);
   }
 
@@ -278,7 +280,7 @@
     EXPECT_EQ(fleet.Readers(), 10U) << daemons;
     fleet.Change();
     fleet.Run(milliseconds(500));
-    EXPECT_LE(fleet.Latest(), milliseconds(50)) << daemons;
+    EXPECT_LE(fleet.MaxDelay(), milliseconds(50)) << daemons;
   }
 }
 
@@ -288,10 +290,10 @@
   fleet fleet({.daemons = 14000, .data_centres = 22});
   fleet.Run(milliseconds(800));
   EXPECT_EQ(fleet.Readers(), 44U);
-  EXPECT_LE(fleet.MostFollowers(), 40U);
+  EXPECT_LE(fleet.MaxFollowers(), 40U);
   fleet.Change();
   fleet.Run(milliseconds(100));
-  EXPECT_LE(fleet.Latest(), milliseconds(50));
+  EXPECT_LE(fleet.MaxDelay(), milliseconds(50));
 }
 
 // Both readers of a data centre are frozen, or cut off, at the moment of a
@@ -307,7 +309,7 @@
     }
     fleet.Change();
     fleet.Run(seconds(3));
-    EXPECT_LE(fleet.Latest(), kInForce + kHeartbeat) << frozen;
+    EXPECT_LE(fleet.MaxDelay(), kChangeLimit + kHeartbeat) << frozen;
   }
 }
 
@@ -324,7 +326,7 @@
   }
   fleet.Change();
   fleet.Run(seconds(1));
-  EXPECT_LE(fleet.Latest(), milliseconds(50));
+  EXPECT_LE(fleet.MaxDelay(), milliseconds(50));
 }
 
 // The store turns all readers away and serves everybody else. They say so,
@@ -339,7 +341,7 @@
   fleet.Run(seconds(3));
   fleet.Change();
   fleet.Run(seconds(1));
-  EXPECT_LE(fleet.Latest(), milliseconds(50));
+  EXPECT_LE(fleet.MaxDelay(), milliseconds(50));
 }
 
 // The store is away for everybody. If each daemon went on asking for it as
@@ -358,7 +360,7 @@
   for (int i = 0; i < 5; ++i) {
     small.Change();
     small.Run(seconds(2));
-    EXPECT_LE(small.Latest(), kInForce);
+    EXPECT_LE(small.MaxDelay(), kChangeLimit);
   }
 }
 
@@ -378,7 +380,7 @@
   }
   fleet.Change();
   fleet.Run(seconds(1));
-  EXPECT_LE(fleet.Latest(), kInForce);
+  EXPECT_LE(fleet.MaxDelay(), kChangeLimit);
   fleet.Run(seconds(6));
   EXPECT_LE(fleet.Readers(), 14U);
 }
@@ -394,7 +396,7 @@
       fleet.Run(milliseconds(100));
     }
     fleet.Run(seconds(1));
-    EXPECT_LE(fleet.Latest(), kInForce) << seed;
+    EXPECT_LE(fleet.MaxDelay(), kChangeLimit) << seed;
     EXPECT_LE(fleet.Readers(), 16U) << seed;
   }
 }
@@ -416,16 +418,16 @@
   for (int i = 0; i < 40; ++i) {
     fleet.Change();
     fleet.Run(milliseconds(100));
-    EXPECT_LE(fleet.Latest(), milliseconds(50)) << i;
+    EXPECT_LE(fleet.MaxDelay(), milliseconds(50)) << i;
   }
 }
 
 // Two daemons follow each other, and nobody reads. Each report is as old as
 // what it was made from, so that they notice.
 TEST(ViewFollowingTest, ARingOfFollowersIsNotFresh) {
-  const daemon_place a{.ip = "10.0.0.1", .data_centre = "a"};
-  const daemon_place b{.ip = "10.0.0.2", .data_centre = "a"};
-  const daemon_place c{.ip = "10.0.0.3", .data_centre = "a"};
+  const daemon_location a{.ip = "10.0.0.1", .data_centre = "a"};
+  const daemon_location b{.ip = "10.0.0.2", .data_centre = "a"};
+  const daemon_location c{.ip = "10.0.0.3", .data_centre = "a"};
   view_following one({.self = c});
   one.SetDaemons({a, b, c});
   time_point now = kStart;
@@ -446,8 +448,8 @@
 // What two daemons told each other on every answer kept views fresh that nobody
 // had confirmed for seconds.
 TEST(ViewFollowingTest, ConfirmationsThatAreToldToAndFroAge) {
-  const daemon_place reader{.ip = "10.0.0.1", .data_centre = "waw-a"};
-  std::vector<daemon_place> places = {reader};
+  const daemon_location reader{.ip = "10.0.0.1", .data_centre = "waw-a"};
+  std::vector<daemon_location> places = {reader};
   std::vector<view_following> daemons;
   for (int i = 2; i <= 3; ++i) {
     places.push_back({.ip = IpOf(i), .data_centre = "waw-a"});
@@ -460,11 +462,11 @@
     each.OnReport(reader.ip, milliseconds(0), true, now);
   }
   // Nobody reads the store from now on; calls flow between the two.
-  constexpr milliseconds kFrameWay{2};
+  constexpr milliseconds kFrameTransit{2};
   const time_point end = now + milliseconds(1500);
   for (int i = 0; now < end; ++i) {
     const milliseconds age = daemons[i % 2].Age(now);
-    now += kFrameWay;
+    now += kFrameTransit;
     daemons[(i + 1) % 2].OnReport(places[1 + i % 2].ip, age, true, now);
   }
   EXPECT_FALSE(daemons[0].IsFresh(now));
@@ -474,7 +476,7 @@
 // A daemon stood still for some seconds and wakes. Nobody has spoken to it
 // meanwhile, and that is nobody's fault.
 TEST(ViewFollowingTest, ADaemonThatStoodStillBlamesNobody) {
-  std::vector<daemon_place> places;
+  std::vector<daemon_location> places;
   for (std::size_t i = 0; i < 40; ++i) {
     places.push_back({.ip = IpOf(i), .data_centre = "a"});
   }
@@ -488,7 +490,7 @@
 
 // The only two daemons that are known can rely on nobody else.
 TEST(ViewFollowingTest, AFewDaemonsReadThemselves) {
-  const daemon_place self{.ip = "10.0.0.1", .data_centre = "a"};
+  const daemon_location self{.ip = "10.0.0.1", .data_centre = "a"};
   view_following alone({.self = self});
   EXPECT_EQ(alone.Plan(kStart).reading, store_reading::kEager);
   alone.SetDaemons({self, {.ip = "10.0.0.2", .data_centre = "b"}});
--- a/tests/watch_pace_test.cc
+++ b/tests/watch_pace_test.cc
@@ -63,7 +63,7 @@
     EXPECT_LE(result.calls_per_second,
               std::max(6000 * kWatchShare, 1.0 * daemons))
         << daemons;
-    EXPECT_LE(result.latest_change, kMostWatchPause + 2 * kAnswerTime);
+    EXPECT_LE(result.latest_change, kMaxWatchPause + 2 * kAnswerTime);
   }
 }
 
@@ -83,15 +83,15 @@
         static_cast<double>(WatchWait(kAll, daemons, 0).count());
     EXPECT_LE(calls, 10.1) << daemons;
   }
-  EXPECT_EQ(WatchWait(kAll, 12, 0), kLeastWatchWait);
-  EXPECT_EQ(WatchWait(kAll, 14000, 0), kMostWatchWait);
+  EXPECT_EQ(WatchWait(kAll, 12, 0), kMinWatchWait);
+  EXPECT_EQ(WatchWait(kAll, 14000, 0), kMaxWatchWait);
 }
 
 // A change wakes all daemons at one moment. If their next watches ended at one
 // moment too, nobody would find out about a silent store in between.
 TEST(WatchPaceTest, RenewalsAreSpread) {
   EXPECT_LT(WatchWait(kAll, 62, 1023), WatchWait(kAll, 62, 0) * 2 / 3);
-  EXPECT_GE(WatchWait(kAll, 62, 1023), kLeastWatchWait);
+  EXPECT_GE(WatchWait(kAll, 62, 1023), kMinWatchWait);
 }
 
 // Two daemons of a data centre read for all of it and are woken by the same
@@ -100,11 +100,11 @@
 TEST(WatchPaceTest, ReadersPauseForDifferentTimes) {
   const watch_pace_options few{.store_calls_per_second = 16000};
   for (const std::size_t daemons : {2U, 25U, 14000U}) {
-    EXPECT_EQ(WatchPause(few, daemons, 0), kLeastReaderPause);
+    EXPECT_EQ(WatchPause(few, daemons, 0), kMinReaderPause);
     EXPECT_GT(WatchPause(few, daemons, 512), WatchPause(few, daemons, 0));
-    EXPECT_LE(WatchPause(few, daemons, 1023), kMostWatchPause);
-    EXPECT_LE(WatchWait(few, daemons, 0), kReaderWatchWait);
-    EXPECT_GE(WatchWait(few, daemons, 1023), kLeastWatchWait);
+    EXPECT_LE(WatchPause(few, daemons, 1023), kMaxWatchPause);
+    EXPECT_LE(WatchWait(few, daemons, 0), kMaxReaderWait);
+    EXPECT_GE(WatchWait(few, daemons, 1023), kMinWatchWait);
   }
 }
 
