--- a/src/forward/forward_daemon.h
+++ b/src/forward/forward_daemon.h
@@ -111,8 +111,8 @@
                {.address = settings.peer,
                 .self = incarnation_,
                 .on_suspects =
-                    [this](const suspects_frame& told) {
-                      return executor_.ImportSuspects(told);
+                    [this](const suspects_frame& suspects) {
+                      return executor_.ImportSuspects(suspects);
                     },
                 .revision = [this] { return sharing_.revision(); },
                 .changes_since =
@@ -125,8 +125,8 @@
                     },
                 .proof = [this] { return sharing_.Proof(); },
                 .on_changes =
-                    [this](const view_changes& told) {
-                      sharing_.OnChanges(told);
+                    [this](const view_changes& changes) {
+                      sharing_.OnChanges(changes);
                     }},
                executor_),
         callers_(context_,
@@ -152,10 +152,11 @@
                 [this](const std::string& ip, const usage_frame& usage) {
                   origin_.SendUsage(ip, usage);
                 }),
-        suspects_(context_,
-                  [this](const suspects_frame& told, std::size_t most) {
-                    SendSuspects(told, most);
-                  }),
+        suspects_(
+            context_,
+            [this](const suspects_frame& suspects, std::size_t max_count) {
+              SendSuspects(suspects, max_count);
+            }),
         signals_(context_, SIGTERM, SIGINT, SIGHUP),
         tick_(context_),
         flush_(context_),
@@ -176,8 +177,8 @@
     AwaitSignal();
     ReleaseStopSignals();
     executor_.OnSuspects(
-        [this](const suspects_frame& told, suspects_source source) {
-          suspects_.Tell(told, source);
+        [this](const suspects_frame& suspects, suspects_source source) {
+          suspects_.Tell(suspects, source);
         });
     executor_.SetViewState([this] { return views_.state(); },
                            [this] { return sharing_.age(); },
@@ -218,14 +219,14 @@
         .repeat_reserve = settings.repeat_reserve,
         .repeat_window = settings.repeat_window,
         .on_suspects =
-            [this](const suspects_frame& told) {
-              return executor_.ImportSuspects(told);
+            [this](const suspects_frame& suspects) {
+              return executor_.ImportSuspects(suspects);
             },
         .on_report =
             [this](const std::string& ip, const neighbour_report& report) {
               sharing_.OnReport(ip, report);
             },
-        .on_lost = [this](const std::string& ip) { sharing_.OnLost(ip); },
+        .on_peer_lost = [this](const std::string& ip) { sharing_.OnLost(ip); },
         .proven_age = [this] { return sharing_.proven_age(); },
         .max_key_age = MaxKeyAge(settings),
         .on_stale_target = [this] { views_.NoteStaleTarget(); },
@@ -235,11 +236,13 @@
               return sharing_.FrameSince(revision);
             },
         .on_changes =
-            [this](const view_changes& told) { sharing_.OnChanges(told); },
+            [this](const view_changes& changes) {
+              sharing_.OnChanges(changes);
+            },
         .on_proof = [this](const freshness_proof& proof,
                            boot_time asked) { sharing_.OnProof(proof, asked); },
         .admit = [this](organisation_id id) { return quotas_.Admit(id); },
-        .give_back = [this](organisation_id id) { quotas_.GiveBack(id); },
+        .refund_quota = [this](organisation_id id) { quotas_.GiveBack(id); },
         .on_quota =
             [this](const std::string& ip, const quota_frame& quota) {
               quotas_.OnQuota(ip, quota);
@@ -248,9 +251,9 @@
 
   // A request that is let in still takes a while until its target begins it.
   static milliseconds MaxKeyAge(const forward_settings& settings) {
-    constexpr double kPartForEntrance = 0.8;
+    constexpr double kAdmissionShare = 0.8;
     return std::chrono::duration_cast<milliseconds>(settings.key_withdrawal *
-                                                    kPartForEntrance);
+                                                    kAdmissionShare);
   }
 
   view_sharing_parts SharingParts() {
@@ -263,7 +266,9 @@
         .note_store_answer =
             [this](time_point at) { views_.NoteStoreAnswer(at); },
         .apply =
-            [this](const view_changes& told) { return views_.Apply(told); },
+            [this](const view_changes& changes) {
+              return views_.Apply(changes);
+            },
         .changes_since =
             [this](std::uint64_t revision) {
               return views_.ChangesSince(revision);
@@ -274,8 +279,9 @@
             },
         .ask = [this](const std::string& ip) { origin_.AskChanges(ip); },
         .ask_proofs =
-            [this](const std::vector<std::string>& ips, std::size_t others) {
-              origin_.AskProofs(ips, others);
+            [this](const std::vector<std::string>& ips,
+                   std::size_t additional) {
+              origin_.AskProofs(ips, additional);
             },
         .ask_connected =
             [this](std::uint64_t revision) { peers_.AskForChanges(revision); },
@@ -397,7 +403,7 @@
           .value = std::to_string(callers_.state().open_requests)},
          {.name = "runs", .value = std::to_string(executor_.in_progress())}});
     executor_.Leave();
-    origin_.SetEnd(stop_plan_.answer_by());
+    origin_.SetAnswerBy(stop_plan_.answer_by());
     peers_.Drain();
     callers_.Drain();
     PollStop();
@@ -410,20 +416,21 @@
         .calls_read = peers_.calls_read(),
         .open_requests = callers_.state().open_requests,
         .runs = executor_.in_progress(),
-        .longest = std::max(origin_.Longest(now) + callers_.LongestWrite(now),
-                            executor_.Longest(now))};
+        .max_request_time =
+            std::max(origin_.MaxRequestTime(now) + callers_.LongestWrite(now),
+                     executor_.Longest(now))};
     if (stop_plan_.IsOver(progress, now)) {
       Stop();
       return;
     }
     if (now >= stop_plan_.answer_by()) {
-      EndOpen();
+      EndOpenCalls();
     }
-    if (!stop_plan_.IsOpen(now) && !std::exchange(closing_, true)) {
+    if (!stop_plan_.AcceptsConnections(now) && !std::exchange(closing_, true)) {
       LogClosing(progress);
       callers_.StopListening();
     }
-    if (!stop_plan_.TakesNew(now) && !std::exchange(refusing_, true)) {
+    if (!stop_plan_.AcceptsRequests(now) && !std::exchange(refusing_, true)) {
       executor_.Drain();
       callers_.RefuseNew();
     }
@@ -437,23 +444,24 @@
 
   // First what is at the target beside, so that its callers here hear which of
   // it has not run.
-  void EndOpen() {
+  void EndOpenCalls() {
     if (!std::exchange(ending_, true)) {
       callers_.RefuseNew();
       executor_.EndOpen();
     } else {
-      origin_.EndOpen();
+      origin_.EndOpenCalls();
     }
   }
 
   void LogClosing(const stop_progress& progress) {
-    const auto longest =
-        std::chrono::duration_cast<milliseconds>(progress.longest);
+    const auto max_request_time =
+        std::chrono::duration_cast<milliseconds>(progress.max_request_time);
     LogEvent(
         "closing",
         {{.name = "requests", .value = std::to_string(progress.open_requests)},
          {.name = "runs", .value = std::to_string(progress.runs)},
-         {.name = "longest_ms", .value = std::to_string(longest.count())}});
+         {.name = "longest_ms",
+          .value = std::to_string(max_request_time.count())}});
   }
 
   void LogEnding() {
@@ -485,18 +493,18 @@
   }
 
   // Each daemon once, over whichever way it is connected.
-  void SendSuspects(const suspects_frame& told, std::size_t most) {
+  void SendSuspects(const suspects_frame& suspects, std::size_t max_count) {
     std::set<incarnation_id> connected = origin_.linked();
     connected.merge(peers_.senders());
-    const std::vector<incarnation_id> some = SomeAtRandom(
-        std::vector<incarnation_id>(connected.begin(), connected.end()), most,
-        RandomBits64);
-    std::set<incarnation_id> to(some.begin(), some.end());
-    const auto frame = std::make_shared<const std::string>(Encode(told));
+    const std::vector<incarnation_id> chosen = SomeAtRandom(
+        std::vector<incarnation_id>(connected.begin(), connected.end()),
+        max_count, RandomBits64);
+    std::set<incarnation_id> to(chosen.begin(), chosen.end());
+    const auto frame = std::make_shared<const std::string>(Encode(suspects));
     origin_.SendSuspects(frame, &to);
     peers_.SendSuspects(frame, to);
-    if (!told.entries.empty()) {
-      origin_.TellFurtherDaemons();
+    if (!suspects.entries.empty()) {
+      origin_.PushSuspectsToUnlinked();
     }
   }
 
--- a/src/forward/origin.cc
+++ b/src/forward/origin.cc
@@ -45,7 +45,7 @@
 }
 
 // No daemon could be reached, or the one that was has no target beside it.
-bool NobodyThere(const peer_answer& answer) {
+bool IsTargetAbsent(const peer_answer& answer) {
   return answer.answer.kind == outcome_kind::kNotExecuted &&
          !answer.answer.reached_target &&
          (!answer.heard || answer.answer.why == reason::kNotReady);
@@ -87,18 +87,18 @@
 // The shorter of what the caller and the route say.
 milliseconds origin::TimeoutOf(const placed_call& call) const {
   milliseconds timeout = call.call.caller_timeout;
-  const milliseconds longest = call.matched->timeout;
+  const milliseconds max_timeout = call.matched->timeout;
   if (timeout == milliseconds(0) ||
-      (longest > milliseconds(0) && longest < timeout)) {
-    timeout = longest;
+      (max_timeout > milliseconds(0) && max_timeout < timeout)) {
+    timeout = max_timeout;
   }
   return timeout == milliseconds(0) ? kDefaultTimeout : timeout;
 }
 
 void origin::StartTimer(call_id id) {
   placed_call& call = *calls_.at(id);
-  call.timer.expires_at(call.deadline);
-  call.timer.async_wait([this, id](boost::system::error_code error) {
+  call.deadline_timer.expires_at(call.deadline);
+  call.deadline_timer.async_wait([this, id](boost::system::error_code error) {
     if (!error) {
       OnTimeout(id);
     }
@@ -122,10 +122,10 @@
                 .retry_after = kDefaultRetryAfter});
     return id;
   }
-  if (!Identify(id)) {
+  if (!Authenticate(id)) {
     return id;
   }
-  if (!Charge(id)) {
+  if (!ChargeQuota(id)) {
     return id;
   }
   if (view_->config->organisations == nullptr) {
@@ -163,28 +163,28 @@
     return id;
   }
   StartTimer(id);
-  Try(id);
+  PlaceAndSend(id);
   return id;
 }
 
-bool origin::IsHopeless(const placed_call& call, time_point now) {
+bool origin::CannotMeetDeadline(const placed_call& call, time_point now) {
   return StateOf(call.service)
-      .hopeless.IsHopeless(call.placing.method,
-                           std::min(call.deadline, answer_by_) - now, now);
+      .feasibility.IsHopeless(call.placing.method,
+                              std::min(call.deadline, answer_by_) - now, now);
 }
 
 // A key may have been withdrawn while its request waited.
-void origin::TryAgain(call_id id) {
-  if (Identify(id)) {
-    Try(id);
+void origin::Retry(call_id id) {
+  if (Authenticate(id)) {
+    PlaceAndSend(id);
   }
 }
 
-void origin::Try(call_id id) {
+void origin::PlaceAndSend(call_id id) {
   const call_ptr call = calls_.at(id);
   service_state& state = StateOf(call->service);
   const time_point now = monotonic_clock::now();
-  if (IsHopeless(*call, now)) {
+  if (CannotMeetDeadline(*call, now)) {
     call->why = reason::kDeadlinePassed;
     log_.Add(
         id, call->call.id, "not_placed",
@@ -203,7 +203,7 @@
         id, call->call.id, "not_placed",
         {{.name = "why", .value = std::string(kReasonNames.Name(placed.why))},
          {.name = "usable", .value = Text(state.targets.usable(now))}});
-    FinishOrLookAgain(id);
+    FinishOrRetryLater(id);
     return;
   }
   call->target = placed.target;
@@ -222,7 +222,7 @@
 
 milliseconds origin::StartWithin(const placed_call& call,
                                  time_point now) const {
-  constexpr milliseconds kLeast{1};  // Zero would bound nothing.
+  constexpr milliseconds kMinimum{1};  // Zero would bound nothing.
   std::optional<milliseconds> within;
   if (!call.organisation.empty() && options_.max_key_age > milliseconds(0)) {
     const auto age = options_.proven_age();
@@ -232,7 +232,7 @@
     const milliseconds left = TimeLeft(answer_by_, now);
     within = std::min(within.value_or(left), left);
   }
-  return within ? std::max(kLeast, *within) : milliseconds(0);
+  return within ? std::max(kMinimum, *within) : milliseconds(0);
 }
 
 call_frame origin::FrameOf(const placed_call& call,
@@ -292,9 +292,9 @@
                                   });
 }
 
-void origin::NoteAnswer(placed_call& call,
-                        const peer_answer& answer,
-                        time_point now) {
+void origin::RecordAnswer(placed_call& call,
+                          const peer_answer& answer,
+                          time_point now) {
   StateOf(call.service)
       .targets.Finish(call.target, call.placing.method, ResultOf(answer),
                       answer.answer.served,
@@ -302,10 +302,10 @@
   if (answer.answer.kind == outcome_kind::kCompleted &&
       !IsServerError(answer.answer.response.status)) {
     StateOf(call.service)
-        .hopeless.OnServed(call.placing.method, answer.answer.served, now);
+        .feasibility.OnServed(call.placing.method, answer.answer.served, now);
   }
   if (answer.answer.by_targets) {
-    call.by_target = true;
+    call.from_own_target = true;
     local_.NoteDownstream(call.service,
                           StateOf(call.service).targets.Pressure(now), now);
   }
@@ -320,14 +320,14 @@
     }
   }
   if (answer.heard) {
-    call.needed += answer.answer.queued + answer.answer.served;
+    call.processing_time += answer.answer.queued + answer.answer.served;
   }
-  if (NobodyThere(answer)) {
+  if (IsTargetAbsent(answer)) {
     ++call.placing.tried.gone;
   }
   if (answer.answer.reached_target ||
       answer.answer.kind == outcome_kind::kUnknown) {
-    ++call.reached;
+    ++call.targets_reached;
   }
   if (answer.answer.kind == outcome_kind::kUnknown) {
     call.may_have_run = true;
@@ -348,70 +348,70 @@
   const call_ptr call = found->second;
   const time_point now = monotonic_clock::now();
   call->sending = false;
-  NoteAnswer(*call, answer, now);
-  answer_frame& told = answer.answer;
+  RecordAnswer(*call, answer, now);
+  answer_frame& frame = answer.answer;
   log_.Add(
       id, call->call.id, "answer",
       {{.name = "target", .value = call->target_id},
        {.name = "outcome",
-        .value = std::string(kOutcomeKindNames.Name(told.kind))},
-       {.name = "why", .value = std::string(kReasonNames.Name(told.why))},
-       {.name = "status", .value = std::to_string(told.response.status)},
+        .value = std::string(kOutcomeKindNames.Name(frame.kind))},
+       {.name = "why", .value = std::string(kReasonNames.Name(frame.why))},
+       {.name = "status", .value = std::to_string(frame.response.status)},
        {.name = "heard", .value = answer.heard ? "yes" : "no"},
        {.name = "took_us",
         .value = std::to_string(
             std::chrono::duration_cast<microseconds>(now - call->sent_at)
                 .count())},
-       {.name = "queued_us", .value = std::to_string(told.queued.count())},
-       {.name = "served_us", .value = std::to_string(told.served.count())}});
-  if (MayTryAgain(*call, told, now)) {
-    if (told.kind == outcome_kind::kCompleted) {
+       {.name = "queued_us", .value = std::to_string(frame.queued.count())},
+       {.name = "served_us", .value = std::to_string(frame.served.count())}});
+  if (MayRetry(*call, frame, now)) {
+    if (frame.kind == outcome_kind::kCompleted) {
       call->may_have_run = true;
       call->has_failure = true;
-      call->failure = std::move(told.response);
+      call->failure = std::move(frame.response);
     }
     ++counters_.sent_again;
-    TryAgain(id);
+    Retry(id);
     return;
   }
-  if (told.kind == outcome_kind::kCompleted) {
+  if (frame.kind == outcome_kind::kCompleted) {
     local_.NoteCompleted(call->matched->name, call->call.request, call->call.id,
                          now);
     Finish(id, {.kind = outcome_kind::kCompleted,
-                .response = std::move(told.response)});
+                .response = std::move(frame.response)});
     return;
   }
-  FinishOrLookAgain(id);
+  FinishOrRetryLater(id);
 }
 
-void origin::FinishOrLookAgain(call_id id) {
+void origin::FinishOrRetryLater(call_id id) {
   const placed_call& call = *calls_.at(id);
-  const bool nothing_sent = call.reached == 0 && !call.may_have_run;
-  const auto pause = nothing_sent
+  const bool nothing_sent = call.targets_reached == 0 && !call.may_have_run;
+  const auto delay = nothing_sent
                          ? NextLook({.received = call.call.received,
                                      .deadline = call.deadline,
                                      .objective = call.placing.objective,
                                      .why = call.why},
                                     monotonic_clock::now())
                          : std::nullopt;
-  if (pause) {
-    LookAgainIn(id, *pause);
+  if (delay) {
+    RetryLater(id, *delay);
   } else {
     FinishWithoutAnswer(id);
   }
 }
 
-void origin::LookAgainIn(call_id id, milliseconds pause) {
+void origin::RetryLater(call_id id, milliseconds delay) {
   placed_call& call = *calls_.at(id);
   log_.Add(id, call.call.id, "looks_again",
            {{.name = "why", .value = std::string(kReasonNames.Name(call.why))},
-            {.name = "in_ms", .value = std::to_string(pause.count())}});
+            {.name = "in_ms", .value = std::to_string(delay.count())}});
   call.placing.tried = {};
-  call.pause.expires_after(pause);
-  call.pause.async_wait([this, id](boost::system::error_code error) {
+  call.retry_timer.expires_after(delay);
+  call.retry_timer.async_wait([this, id](boost::system::error_code error) {
     // The caller may have left just as the pause ended.
     if (!error && calls_.contains(id)) {
-      TryAgain(id);
+      Retry(id);
     }
   });
 }
@@ -419,9 +419,9 @@
 // Another target is asked for a request that has not run, and for one that may
 // run again if it failed. Sends that reach targets are paid from the budget:
 // the second send of a request is load that its caller didn't bring.
-bool origin::MayTryAgain(placed_call& call,
-                         const answer_frame& answer,
-                         time_point now) {
+bool origin::MayRetry(placed_call& call,
+                      const answer_frame& answer,
+                      time_point now) {
   const bool completed = answer.kind == outcome_kind::kCompleted;
   if (completed &&
       (!IsServerError(answer.response.status) || answer.failed_below ||
@@ -431,15 +431,15 @@
   const bool may_run =
       !call.may_have_run || call.matched->repeats == repeat_policy::kIdempotent;
   service_state& state = StateOf(call.service);
-  if (!may_run || now >= call.deadline || IsHopeless(call, now) ||
+  if (!may_run || now >= call.deadline || CannotMeetDeadline(call, now) ||
       answer.why == reason::kCancelled ||
       !state.targets.MayTryElsewhere(call.placing, now)) {
     return false;
   }
-  if (call.reached == 0) {
+  if (call.targets_reached == 0) {
     return true;
   }
-  return call.reached < call.matched->max_targets &&
+  return call.targets_reached < call.matched->max_targets &&
          state.repeats.TrySpend(now);
 }
 
@@ -454,7 +454,7 @@
             {.name = "target", .value = call->target_id}});
   if (call->sending) {
     const time_point now = monotonic_clock::now();
-    NoteWait(*call, now);
+    RecordWait(*call, now);
     CancelSend(*call);
     call->may_have_run = true;
     StateOf(call->service)
@@ -466,9 +466,9 @@
   FinishWithoutAnswer(id);
 }
 
-void origin::NoteWait(placed_call& call, time_point now) {
+void origin::RecordWait(placed_call& call, time_point now) {
   if (call.link == nullptr || call.link->IsWell(now)) {
-    call.needed += now - call.sent_at;
+    call.processing_time += now - call.sent_at;
   }
 }
 
@@ -493,13 +493,13 @@
            {{.name = "target", .value = call->target_id}});
   const time_point now = monotonic_clock::now();
   if (call->sending) {
-    NoteWait(*call, now);
+    RecordWait(*call, now);
     CancelSend(*call);
     StateOf(call->service)
         .targets.Finish(call->target, call->placing.method,
                         call_result::kCancelled, duration(0), nullptr, now);
   }
-  longest_.Add(call->needed, now);
+  max_request_time_.Add(call->processing_time, now);
   log_.End(id, call->call.id, true);
   calls_.erase(found);
 }
@@ -527,14 +527,14 @@
   const auto found = calls_.find(id);
   const call_ptr call = found->second;
   calls_.erase(found);
-  call->timer.cancel();
-  call->pause.cancel();
+  call->deadline_timer.cancel();
+  call->retry_timer.cancel();
   const time_point now = monotonic_clock::now();
-  longest_.Add(call->needed, now);
+  max_request_time_.Add(call->processing_time, now);
   if (call->charged && result.kind == outcome_kind::kNotExecuted) {
-    options_.give_back(*call->charged);
+    options_.refund_quota(*call->charged);
   }
-  if (call->by_target) {
+  if (call->from_own_target) {
     local_.NoteCallOfTarget(result.kind != outcome_kind::kCompleted ||
                                 IsServerError(result.response.status),
                             now);
--- a/src/forward/origin.h
+++ b/src/forward/origin.h
@@ -57,7 +57,7 @@
   std::function<void(const std::string& ip, const neighbour_report& report)>
       on_report;
   // It can't be reached, or is stopping.
-  std::function<void(const std::string& ip)> on_lost;
+  std::function<void(const std::string& ip)> on_peer_lost;
   // How long ago the configuration is proven to have been the newest one;
   // nothing if that was never proven.
   std::function<std::optional<milliseconds>()> proven_age;
@@ -77,7 +77,7 @@
   // Whether one more request of the organisation is let in; all are if empty.
   std::function<quota_decision(organisation_id)> admit;
   // One that was let in has not run.
-  std::function<void(organisation_id)> give_back;
+  std::function<void(organisation_id)> refund_quota;
   // The daemon at `ip` answered a report of use.
   std::function<void(const std::string& ip, const quota_frame&)> on_quota;
 };
@@ -122,7 +122,7 @@
                     std::set<incarnation_id>* to);
   // Connects to some daemons that are not linked, which are so told of all
   // suspects that are known.
-  void TellFurtherDaemons();
+  void PushSuspectsToUnlinked();
   // The daemons at these IP numbers, and no others, tell from now on what
   // changes in the store.
   void Follow(const std::vector<std::string>& ips);
@@ -132,19 +132,19 @@
   void SendUsage(const std::string& ip, const usage_frame& usage);
   // Asks the daemons at these IP numbers how new their views are, and up to
   // `others` more that are connected, different ones each time.
-  void AskProofs(const std::vector<std::string>& ips, std::size_t others);
+  void AskProofs(const std::vector<std::string>& ips, std::size_t additional);
   // Once a second.
   void Tick(time_point now);
   // The daemon stops. Calls are sent only where they are expected to end by
-  // `answer_by`; EndOpen() is called then.
-  void SetEnd(time_point answer_by) { answer_by_ = answer_by; }
+  // `answer_by`; EndOpenCalls() is called then.
+  void SetAnswerBy(time_point answer_by) { answer_by_ = answer_by; }
   // Answers all calls in progress: not executed if nothing of them has left,
   // else unknown. Their lines tell what each waited for.
-  void EndOpen();
+  void EndOpenCalls();
   // Most that a request needed lately, in queues and at targets. What the way
   // to another daemon took says nothing about the next request's.
-  [[nodiscard]] duration Longest(time_point now) {
-    return longest_.Get(now).value_or(duration(0));
+  [[nodiscard]] duration MaxRequestTime(time_point now) {
+    return max_request_time_.Get(now).value_or(duration(0));
   }
 
   [[nodiscard]] std::size_t in_progress() const { return calls_.size(); }
@@ -171,7 +171,7 @@
 
     balancer targets;
     repeat_budget repeats;
-    hopeless_sends hopeless;
+    hopeless_sends feasibility;
     kind_index kinds;
   };
 
@@ -188,8 +188,9 @@
     bool ahead = false;  // Other organisations are to give way to it.
     time_point deadline;
     placement_request placing;
-    boost::asio::steady_timer timer;  // Of the deadline.
-    boost::asio::steady_timer pause;  // Until the next search for a target.
+    boost::asio::steady_timer deadline_timer;  // Of the deadline.
+    boost::asio::steady_timer
+        retry_timer;  // Until the next search for a target.
     // The send in progress, if there is one.
     target_ref target;
     std::string target_id;
@@ -200,17 +201,17 @@
     std::uint32_t generation = 0;  // Of sends; late answers have an old one.
 
     // In queues and at targets, by answers that were heard.
-    duration needed{0};
-    std::uint32_t reached = 0;  // Sends that reached a target.
+    duration processing_time{0};
+    std::uint32_t targets_reached = 0;  // Sends that reached a target.
     bool may_have_run = false;
-    bool by_target = false;    // Made by the target beside this daemon.
-    bool has_failure = false;  // `failure` is a target's own answer.
+    bool from_own_target = false;  // Made by the target beside this daemon.
+    bool has_failure = false;      // `failure` is a target's own answer.
     relayed_response failure;
     reason why = reason::kNone;  // Of the last send that gave no answer.
     milliseconds retry_after{0};
 
     explicit placed_call(boost::asio::io_context& context)
-        : timer(context), pause(context) {}
+        : deadline_timer(context), retry_timer(context) {}
   };
 
   using call_ptr = std::shared_ptr<placed_call>;
@@ -219,38 +220,41 @@
   // Who holds the caller's key, by the view in use.
   [[nodiscard]] key_answer CheckKeyOf(const placed_call& call) const;
   // Names the organisation, or ends the call. False if it has ended.
-  bool Identify(call_id id);
+  bool Authenticate(call_id id);
   void CountRefusal(reason why);
   // Counts the call for its organisation's quota, or ends it. False if it has
   // ended.
-  bool Charge(call_id id);
+  bool ChargeQuota(call_id id);
   void StartTimer(call_id id);
   [[nodiscard]] milliseconds TimeoutOf(const placed_call& call) const;
-  [[nodiscard]] bool IsHopeless(const placed_call& call, time_point now);
+  [[nodiscard]] bool CannotMeetDeadline(const placed_call& call,
+                                        time_point now);
   // Bounds when the target has to begin; zero if only the deadline does.
   [[nodiscard]] milliseconds StartWithin(const placed_call& call,
                                          time_point now) const;
-  void LogOpen(call_id id, const placed_call& call, time_point now);
+  void LogEndedByStop(call_id id, const placed_call& call, time_point now);
   // A search for a target behind the first.
-  void TryAgain(call_id id);
-  void Try(call_id id);
+  void Retry(call_id id);
+  void PlaceAndSend(call_id id);
   void Send(call_id id, const target_entry& target);
   [[nodiscard]] call_frame FrameOf(const placed_call& call,
                                    const target_entry& target,
                                    time_point now) const;
   void OnAnswer(call_id id, std::uint32_t generation, peer_answer answer);
-  void NoteAnswer(placed_call& call, const peer_answer& answer, time_point now);
-  [[nodiscard]] bool MayTryAgain(placed_call& call,
-                                 const answer_frame& answer,
-                                 time_point now);
+  void RecordAnswer(placed_call& call,
+                    const peer_answer& answer,
+                    time_point now);
+  [[nodiscard]] bool MayRetry(placed_call& call,
+                              const answer_frame& answer,
+                              time_point now);
   void OnTimeout(call_id id);
   // Refuses the call, or has it look for a target again in a moment.
-  void FinishOrLookAgain(call_id id);
-  void LookAgainIn(call_id id, milliseconds pause);
+  void FinishOrRetryLater(call_id id);
+  void RetryLater(call_id id, milliseconds delay);
   void Finish(call_id id, relayed_result result);
   void FinishWithoutAnswer(call_id id);
   // A send has no answer by now. Its target is slow if the way there is well.
-  static void NoteWait(placed_call& call, time_point now);
+  static void RecordWait(placed_call& call, time_point now);
   // True if nothing of the send had left this daemon.
   bool CancelSend(placed_call& call);
   [[nodiscard]] relayed_result Failure(const placed_call& call) const;
@@ -285,13 +289,13 @@
   reserve_share reserve_share_;
   std::unordered_map<std::string, weighted_split> splits_;   // By route.
   std::map<std::string, std::shared_ptr<peer_link>> links_;  // By IP number.
-  std::string last_proof_asked_;  // Of the `others`; an IP number.
+  std::string last_proof_peer_;  // Of the `others`; an IP number.
   const std::shared_ptr<std::uint64_t> last_number_ =
       std::make_shared<std::uint64_t>(0);  // Of calls on all links.
   std::unordered_map<call_id, call_ptr> calls_;
   call_id next_id_ = 1;
   time_point answer_by_ = time_point::max();  // Earlier while stopping.
-  recent_maximum longest_;                    // Of what requests needed.
+  recent_maximum max_request_time_;           // Of what requests needed.
   origin_counters counters_;
 };
 
--- a/src/forward/origin_keys.cc
+++ b/src/forward/origin_keys.cc
@@ -34,7 +34,7 @@
        .max_age = options_.max_key_age});
 }
 
-bool origin::Identify(call_id id) {
+bool origin::Authenticate(call_id id) {
   placed_call& call = *calls_.at(id);
   const key_answer key = CheckKeyOf(call);
   const reason refusal = RefusalOf(key.verdict);
@@ -72,7 +72,7 @@
   counters_.over_quota += why == reason::kOverQuota ? 1U : 0U;
 }
 
-bool origin::Charge(call_id id) {
+bool origin::ChargeQuota(call_id id) {
   placed_call& call = *calls_.at(id);
   if (!call.holder || !options_.admit) {
     return true;
--- a/src/forward/origin_links.cc
+++ b/src/forward/origin_links.cc
@@ -21,7 +21,7 @@
 constexpr milliseconds kLinkIdle{60000};
 // One that was made to tell something is closed this long after: it has been
 // told, and the peer has answered what it knows better.
-constexpr milliseconds kToldIdle{3000};
+constexpr milliseconds kGossipLinkIdle{3000};
 
 }  // namespace
 
@@ -47,8 +47,8 @@
                      {{.name = "peer", .value = ip},
                       {.name = "reachable", .value = reachable ? "yes" : "no"},
                       {.name = "why", .value = std::string(why)}});
-            if (!reachable && options_.on_lost) {
-              options_.on_lost(ip);
+            if (!reachable && options_.on_peer_lost) {
+              options_.on_peer_lost(ip);
             }
             ForTargetsAt(ip, [reachable](balancer& targets, target_ref target) {
               targets.SetReachable(target, reachable);
@@ -56,8 +56,8 @@
           },
       .on_leaving =
           [this, ip](bool leaving) {
-            if (leaving && options_.on_lost) {
-              options_.on_lost(ip);
+            if (leaving && options_.on_peer_lost) {
+              options_.on_peer_lost(ip);
             }
             ForTargetsAt(ip, [leaving](balancer& targets, target_ref target) {
               targets.SetStopping(target, leaving);
@@ -143,7 +143,7 @@
 }
 
 // A link tells what is known as soon as it is there.
-void origin::TellFurtherDaemons() {
+void origin::PushSuspectsToUnlinked() {
   for (const std::string& ip : FurtherDaemons(Unlinked(), RandomBits64)) {
     LinkTo(ip)->Probe();
   }
@@ -172,20 +172,20 @@
 }
 
 void origin::AskProofs(const std::vector<std::string>& ips,
-                       std::size_t others) {
+                       std::size_t additional) {
   for (const std::string& ip : ips) {
     const auto found = links_.find(ip);
     if (found != links_.end()) {
       found->second->AskProof();
     }
   }
-  const std::size_t count = std::min(others, links_.size());
+  const std::size_t count = std::min(additional, links_.size());
   for (std::size_t i = 0; i < count; ++i) {
-    auto next = links_.upper_bound(last_proof_asked_);
+    auto next = links_.upper_bound(last_proof_peer_);
     if (next == links_.end()) {
       next = links_.begin();
     }
-    last_proof_asked_ = next->first;
+    last_proof_peer_ = next->first;
     next->second->AskProof();
   }
 }
@@ -216,21 +216,21 @@
   ShareReserve(now);
   lapsed_.Expire(now);
   KeepLapsed(now);
-  for (auto place = links_.begin(); place != links_.end();) {
+  for (auto it = links_.begin(); it != links_.end();) {
     const milliseconds idle =
-        place->second->carries_calls() ? kLinkIdle : kToldIdle;
+        it->second->carries_calls() ? kLinkIdle : kGossipLinkIdle;
     // A link that is out of reach is the only one to find out when that ends:
     // its targets get no calls, so that nothing else would ask. Closed, it left
     // a target unused for good that was well again after a minute.
     const bool unused =
-        place->second->reachable() && place->second->outstanding() == 0 &&
-        !place->second->follows() && now - place->second->last_used() > idle;
-    place->second->SendMissedSuspects();
+        it->second->reachable() && it->second->outstanding() == 0 &&
+        !it->second->follows() && now - it->second->last_used() > idle;
+    it->second->SendMissedSuspects();
     if (unused) {
-      place->second->Close();
-      place = links_.erase(place);
+      it->second->Close();
+      it = links_.erase(it);
     } else {
-      ++place;
+      ++it;
     }
   }
 }
@@ -241,13 +241,13 @@
   for (const target_entry& target : view_->targets) {
     ips.insert(target.address.ip);
   }
-  for (auto place = links_.begin(); place != links_.end();) {
-    if (!ips.contains(place->first) && place->second->outstanding() == 0 &&
-        !place->second->follows()) {
-      place->second->Close();
-      place = links_.erase(place);
+  for (auto it = links_.begin(); it != links_.end();) {
+    if (!ips.contains(it->first) && it->second->outstanding() == 0 &&
+        !it->second->follows()) {
+      it->second->Close();
+      it = links_.erase(it);
     } else {
-      ++place;
+      ++it;
     }
   }
 }
--- a/src/forward/origin_stop.cc
+++ b/src/forward/origin_stop.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void origin::EndOpen() {
+void origin::EndOpenCalls() {
   std::vector<call_id> open;
   open.reserve(calls_.size());
   for (const auto& [id, call] : calls_) {
@@ -24,7 +24,7 @@
   for (const call_id id : open) {
     placed_call& call = *calls_.at(id);
     ++counters_.ended_by_stop;
-    LogOpen(id, call, now);
+    LogEndedByStop(id, call, now);
     if (call.sending && !CancelSend(call)) {
       call.may_have_run = true;
     }
@@ -34,7 +34,9 @@
   }
 }
 
-void origin::LogOpen(call_id id, const placed_call& call, time_point now) {
+void origin::LogEndedByStop(call_id id,
+                            const placed_call& call,
+                            time_point now) {
   const auto heard =
       call.link == nullptr ? std::nullopt : call.link->last_heard();
   log_.Add(
--- a/src/forward/stop_plan.h
+++ b/src/forward/stop_plan.h
@@ -18,41 +18,41 @@
   std::size_t runs = 0;             // At the target.
   // Most that a request or a run needed lately, apart from what connections
   // that were lost on the way cost it.
-  duration longest{0};
+  duration max_request_time{0};
 };
 
 // A stopping daemon serves until shortly before it would be killed, or until
 // ending interrupts nothing: what it turned away before would be lost for no
-// reason. It stays for kLeastLinger, in which callers learn that they may not
-// come, then ends when nothing is in progress and nothing has come for kQuiet.
-// A busy daemon closes early enough that twice what requests took lately is
-// left.
+// reason. It stays for kMinLinger, in which callers learn that they may not
+// come, then ends when nothing is in progress and nothing has come for
+// kIdlePeriod. A busy daemon closes early enough that twice what requests took
+// lately is left.
 //
 // Pure logic.
 class stop_plan {
  public:
   // Two questions a second apart, the first up to a second after the signal,
   // and their answers' way.
-  static constexpr milliseconds kLeastLinger{2300};
-  static constexpr milliseconds kQuiet{300};
+  static constexpr milliseconds kMinLinger{2300};
+  static constexpr milliseconds kIdlePeriod{300};
   // Some time after all who ask have gone.
-  static constexpr milliseconds kPressed{3000};
+  static constexpr milliseconds kMaxCallerWait{3000};
   // Requests are taken until then however long they may take; half of a
   // shorter time to stop. What is taken later could still be in progress at the
   // end, and would be cut off.
-  static constexpr milliseconds kTakesAll{2500};
+  static constexpr milliseconds kAcceptAllPeriod{2500};
   // Left for ending itself before the kill.
-  static constexpr milliseconds kReserve{400};
+  static constexpr milliseconds kExitReserve{400};
   // Before the end, for the answers of what could not be finished to go out.
   static constexpr milliseconds kAnswerReserve{100};
   // What requests took lately is taken for at least this: of short ones, some
   // are held up by a connection that is lost on the way (400 ms).
-  static constexpr milliseconds kLeastLongest{400};
+  static constexpr milliseconds kMinRequestTime{400};
 
   void Begin(time_point now, milliseconds timeout) {
     stopping_ = true;
-    since_ = now;
-    until_ = now + std::max(timeout - kReserve, timeout / 2);
+    stop_started_ = now;
+    exit_by_ = now + std::max(timeout - kExitReserve, timeout / 2);
     last_request_ = now;
     last_call_ = now;
   }
@@ -60,11 +60,12 @@
   // When requests in progress are answered as they are: from then on an answer
   // of their target comes too late. Only while stopping.
   [[nodiscard]] time_point answer_by() const {
-    return until_ - std::min<duration>(kAnswerReserve, (until_ - since_) / 4);
+    return exit_by_ -
+           std::min<duration>(kAnswerReserve, (exit_by_ - stop_started_) / 4);
   }
 
   // Call often while stopping.
-  void Note(const stop_progress& progress, time_point now) {
+  void Update(const stop_progress& progress, time_point now) {
     if (progress.requests_read != progress_.requests_read) {
       last_request_ = now;
     }
@@ -78,47 +79,49 @@
 
   // Whether requests on open connections and calls of other daemons are still
   // served.
-  [[nodiscard]] bool TakesNew(time_point now) const {
-    return !stopping_ || now < LastMoment(1);
+  [[nodiscard]] bool AcceptsRequests(time_point now) const {
+    return !stopping_ || now < AcceptUntil(1);
   }
 
   // Whether new connections are still taken.
-  [[nodiscard]] bool IsOpen(time_point now) const {
-    return !stopping_ || now < LastMoment(2);
+  [[nodiscard]] bool AcceptsConnections(time_point now) const {
+    return !stopping_ || now < AcceptUntil(2);
   }
 
   // Notes the progress as well.
   [[nodiscard]] bool IsOver(const stop_progress& progress, time_point now) {
-    Note(progress, now);
-    if (now >= until_) {
+    Update(progress, now);
+    if (now >= exit_by_) {
       return true;
     }
     if (progress.open_requests > 0 || progress.runs > 0 ||
-        now - since_ < kLeastLinger) {
+        now - stop_started_ < kMinLinger) {
       return false;
     }
-    const bool callers_quiet =
-        now - last_request_ >= kQuiet || now - since_ >= kPressed;
-    return !IsOpen(now) || (callers_quiet && now - last_call_ >= kQuiet);
+    const bool callers_idle = now - last_request_ >= kIdlePeriod ||
+                              now - stop_started_ >= kMaxCallerWait;
+    return !AcceptsConnections(now) ||
+           (callers_idle && now - last_call_ >= kIdlePeriod);
   }
 
  private:
-  // When `times` what a request may take is left.
-  [[nodiscard]] time_point LastMoment(int times) const {
-    const duration stop = until_ - since_;
-    const duration longest =
-        std::clamp<duration>(progress_.longest, kLeastLongest, stop);
-    return since_ + std::max(std::min<duration>(kTakesAll, stop / 2),
-                             stop - times * longest);
+  // When `factor` what a request may take is left.
+  [[nodiscard]] time_point AcceptUntil(int factor) const {
+    const duration stop = exit_by_ - stop_started_;
+    const duration request_time =
+        std::clamp<duration>(progress_.max_request_time, kMinRequestTime, stop);
+    return stop_started_ +
+           std::max(std::min<duration>(kAcceptAllPeriod, stop / 2),
+                    stop - factor * request_time);
   }
 
   bool stopping_ = false;
-  time_point since_;
-  time_point until_;
+  time_point stop_started_;
+  time_point exit_by_;
   time_point last_request_;
   time_point last_call_;
   // Before the first is noted, requests may take any time.
-  stop_progress progress_{.longest = duration::max()};
+  stop_progress progress_{.max_request_time = duration::max()};
 };
 
 }  // namespace pistachioweir
--- a/tests/forward_keys_test.cc
+++ b/tests/forward_keys_test.cc
@@ -23,10 +23,10 @@
     };
   }
 
-  int StatusOf(const std::string& target, const std::string& more) {
+  int StatusOf(const std::string& target, const std::string& extra_headers) {
     client_.Request("GET", target, "id-" + std::to_string(++requests_), "",
-                    more);
-    return client_.Next().status;
+                    extra_headers);
+    return client_.NextResponse().status;
   }
 
   std::optional<milliseconds> age_ = milliseconds(0);
@@ -53,12 +53,12 @@
   EXPECT_EQ(names, 1U);
 }
 
-TEST_F(forward_keys_test, AKeyThatNobodyHoldsIsRefusedAndRunsNothing) {
-  for (const char* more :
+TEST_F(forward_keys_test, AnUnknownKeyIsRefusedAndNothingRuns) {
+  for (const char* extra_headers :
        {"", "Authorization: Token secret-2\r\n", "Authorization: Token \r\n",
         "Authorization: secret-1\r\n", "Authorization: Basic secret-1\r\n",
         "Authorization: Token secret-1\r\nAuthorization: Token secret-2\r\n"}) {
-    EXPECT_EQ(StatusOf("/look/1", more), 401) << more;
+    EXPECT_EQ(StatusOf("/look/1", extra_headers), 401) << extra_headers;
   }
   EXPECT_TRUE(path_.target.requests.empty());
 }
@@ -70,7 +70,7 @@
 
 // Guards against a withdrawn key that is still served on a connection that was
 // opened before, or on one daemon that stands still.
-TEST_F(forward_keys_test, AWithdrawnKeyEndsOnAnOpenConnection) {
+TEST_F(forward_keys_test, AWithdrawnKeyIsRefusedOnAnOpenConnection) {
   const std::string key = "Authorization: Token secret-1\r\n";
   EXPECT_EQ(StatusOf("/look/1", key), 200);
   path_.Configure(milliseconds(5000),
@@ -79,7 +79,7 @@
 }
 
 // Guards against a daemon that can't learn of withdrawn keys and goes on.
-TEST_F(forward_keys_test, WithoutFreshWordKeysAreRefusedAsNotRun) {
+TEST_F(forward_keys_test, WithAStaleConfigurationKeysAreRefusedAsNotExecuted) {
   const std::string key = "Authorization: Token secret-1\r\n";
   for (const auto age :
        {std::optional(milliseconds(4001)), std::optional<milliseconds>()}) {
@@ -94,7 +94,7 @@
 
 // Guards against keys of other systems that are lost on deployments without
 // organisations.
-TEST_F(forward_keys_test, WithoutOrganisationsCredentialsArePassedOn) {
+TEST_F(forward_keys_test, WithoutOrganisationsCredentialsAreForwarded) {
   path_.Configure();
   ASSERT_EQ(StatusOf("/look/1", "Authorization: Basic abc\r\n"), 200);
   EXPECT_EQ(Header(path_.target.requests[0], "Authorization"), "Basic abc");
--- a/tests/forward_path_test.cc
+++ b/tests/forward_path_test.cc
@@ -57,7 +57,7 @@
   client.Request("POST", "/sign/x?y=%20z", "id-1", "body",
                  "X-Own: 1\r\nCaller-Service: forged\r\n"
                  "Expected-Instance: forged\r\n");
-  const read_response answer = client.Next();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 201);
   EXPECT_EQ(answer.body, "made");
   EXPECT_EQ(FindHeader(answer.headers, "X-Made"), "yes");
@@ -76,15 +76,15 @@
   EXPECT_GT(std::stoi(Header(seen, "Deadline-Ms")), 3000);
 }
 
-TEST_F(forward_path_test, SaysWhatItCannotServe) {
+TEST_F(forward_path_test, RefusesRequestsThatItCannotRoute) {
   caller early(path_);
   early.Request("GET", "/look/1", "id-1");
-  const read_response unready = early.Next();
+  const read_response unready = early.NextResponse();
   EXPECT_EQ(unready.status, 503);
   EXPECT_TRUE(FindHeader(unready.headers, "Retry-After").has_value());
   path_.Configure();
   early.Request("GET", "/nowhere/1", "id-2");
-  EXPECT_EQ(early.Next().status, 404);
+  EXPECT_EQ(early.NextResponse().status, 404);
 }
 
 // A request crashes the target that runs it, and its caller sends it again once
@@ -98,32 +98,32 @@
     if (request.target == "/sign/poison") {
       ++poisoned;
       from->Reset();
-      path_.calls.SetTargetStart("start-" + std::to_string(poisoned));
+      path_.target_side.SetTargetStart("start-" + std::to_string(poisoned));
       return;
     }
     from->Send(fake_http_target::Answer(request, "well"));
   };
-  path_.calls.SetTargetStart("start-0");
+  path_.target_side.SetTargetStart("start-0");
   caller client(path_);
   for (int i = 0; i < 2; ++i) {
     client.Request("POST", "/sign/poison", "id-" + std::to_string(i), "body");
-    EXPECT_EQ(client.Next().status, 502);
+    EXPECT_EQ(client.NextResponse().status, 502);
     // Another start of the target is registered after the cut was noticed.
-    path_.calls.SetTargetStart("again-" + std::to_string(i));
+    path_.target_side.SetTargetStart("again-" + std::to_string(i));
   }
   client.Request("POST", "/sign/poison", "id-3", "body");
-  const read_response refused = client.Next();
+  const read_response refused = client.NextResponse();
   EXPECT_EQ(refused.status, 503);
   EXPECT_EQ(FindHeader(refused.headers, "Retry-After"), "60.000");
   EXPECT_EQ(poisoned, 2U);
   client.Request("POST", "/sign/other", "id-4", "body");
-  EXPECT_EQ(client.Next().status, 200);
+  EXPECT_EQ(client.NextResponse().status, 200);
 }
 
 // Refused on the VMs of one service, the caller of such a request goes to those
 // of another. Told apart by the service that it comes from, the request crashed
 // two more targets for each of them.
-TEST_F(forward_path_test, ACrashingRequestIsKnownWhereverItComesFrom) {
+TEST_F(forward_path_test, ACrashingRequestIsRecognisedFromAnyCallerService) {
   path_.Configure();
   std::size_t poisoned = 0;
   path_.target.on_request = [&](const read_request&,
@@ -131,19 +131,20 @@
     ++poisoned;
     from->Reset();
   };
-  path_.calls.SetTargetStart("start-0");
+  path_.target_side.SetTargetStart("start-0");
   for (const std::string service : {"registry", "archive", "billing"}) {
     bool answered = false;
-    path_.calls.Serve({.target_id = "target-1",
-                       .route = "sign",
-                       .remaining = milliseconds(2000),
-                       .objective_left = milliseconds(1000),
-                       .caller_service = service,
-                       .request_id = "id-" + service,
-                       .request = {.verb = "POST", .target = "/sign/poison"}},
-                      [&](const answer_frame&) { answered = true; });
+    path_.target_side.Serve(
+        {.target_id = "target-1",
+         .route = "sign",
+         .remaining = milliseconds(2000),
+         .objective_left = milliseconds(1000),
+         .caller_service = service,
+         .request_id = "id-" + service,
+         .request = {.verb = "POST", .target = "/sign/poison"}},
+        [&](const answer_frame&) { answered = true; });
     ASSERT_TRUE(path_.RunUntil([&] { return answered; }));
-    path_.calls.SetTargetStart("start-after-" + service);
+    path_.target_side.SetTargetStart("start-after-" + service);
   }
   EXPECT_EQ(poisoned, 2U);
 }
@@ -167,15 +168,15 @@
         fake_http_target::Answer(each->first, each->first.target));
     path_.RunFor(milliseconds(20));
   }
-  EXPECT_EQ(client.Next().body, "/look/1");
-  EXPECT_EQ(client.Next().body, "/look/2");
-  EXPECT_EQ(client.Next().body, "/look/3");
+  EXPECT_EQ(client.NextResponse().body, "/look/1");
+  EXPECT_EQ(client.NextResponse().body, "/look/2");
+  EXPECT_EQ(client.NextResponse().body, "/look/3");
 }
 
 // A signature comes behind a lookup that is not answered yet. If the answer of
 // the lookup ended the connection, the caller would take the signature as not
 // read and send it again; so it is not begun before.
-TEST_F(forward_path_test, ASignatureIsNotBegunBehindOtherRequests) {
+TEST_F(forward_path_test, AnAtMostOnceRequestIsNotStartedBehindOthers) {
   path_.Configure();
   std::vector<std::pair<read_request, connection_ptr>> held;
   path_.target.on_request = [&](const read_request& request,
@@ -195,7 +196,7 @@
 
 // The target sends an answer twice. The second copy arrives where the answer to
 // the next request is expected; that request's caller must get its own.
-TEST_F(forward_path_test, ASecondAnswerBelongsToNoOtherRequest) {
+TEST_F(forward_path_test, ADuplicateAnswerIsNotMatchedToAnotherRequest) {
   path_.Configure();
   int number = 0;
   std::string first;
@@ -210,17 +211,17 @@
   };
   caller client(path_);
   client.Request("GET", "/look/1", "id-1");
-  EXPECT_EQ(client.Next().body, "first");
+  EXPECT_EQ(client.NextResponse().body, "first");
   client.Request("GET", "/look/2", "id-2");
-  EXPECT_EQ(client.Next().body, "second");
+  EXPECT_EQ(client.NextResponse().body, "second");
   client.Request("GET", "/look/3", "id-3");
-  EXPECT_EQ(client.Next().body, "second");
+  EXPECT_EQ(client.NextResponse().body, "second");
   // The connection on which something odd came was not used again.
   EXPECT_EQ(path_.target.connections, 2);
 }
 
 // The same, but the second copy comes while nothing is asked.
-TEST_F(forward_path_test, BytesOnAnIdleConnectionEndIt) {
+TEST_F(forward_path_test, UnexpectedBytesCloseAnIdleConnection) {
   path_.Configure();
   connection_ptr last;
   path_.target.on_request = [&](const read_request& request,
@@ -230,17 +231,17 @@
   };
   caller client(path_);
   client.Request("GET", "/look/1", "id-1");
-  EXPECT_EQ(client.Next().body, "/look/1");
+  EXPECT_EQ(client.NextResponse().body, "/look/1");
   last->Send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
   path_.RunFor(milliseconds(30));
   client.Request("GET", "/look/2", "id-2");
-  EXPECT_EQ(client.Next().body, "/look/2");
+  EXPECT_EQ(client.NextResponse().body, "/look/2");
   EXPECT_EQ(path_.target.connections, 2);
 }
 
 // The target's process ends in the middle of an answer to a signature. It may
 // have run: its caller gets neither half an answer nor a promise.
-TEST_F(forward_path_test, ACutAnswerIsAFailureThatPromisesNothing) {
+TEST_F(forward_path_test, ATruncatedAnswerIsReportedAsUnknown) {
   path_.Configure();
   path_.target.on_request = [](const read_request& request,
                                const connection_ptr& from) {
@@ -250,11 +251,12 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  EXPECT_EQ(client.Next().status, 502);
+  EXPECT_EQ(client.NextResponse().status, 502);
   EXPECT_EQ(path_.target.requests.size(), 1U);
 }
 
-TEST_F(forward_path_test, AnAnswerWithoutALengthIsWholeOnlyIfItEndsInOrder) {
+TEST_F(forward_path_test,
+       AnAnswerWithoutALengthIsCompleteOnlyAfterAnOrderlyClose) {
   path_.Configure();
   bool in_order = true;
   path_.target.on_request = [&](const read_request& request,
@@ -270,17 +272,17 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  const read_response whole = client.Next();
+  const read_response whole = client.NextResponse();
   EXPECT_EQ(whole.status, 200);
   EXPECT_EQ(whole.body, "hello");
   in_order = false;
   client.Request("POST", "/sign/2", "id-2", "x");
-  EXPECT_EQ(client.Next().status, 502);
+  EXPECT_EQ(client.NextResponse().status, 502);
 }
 
 // The target rejects a long body before it has read it and goes on reading. The
 // next request on that connection would be taken for the rest of the body.
-TEST_F(forward_path_test, AConnectionAnsweredEarlyIsNotUsedAgain) {
+TEST_F(forward_path_test, AConnectionAnsweredEarlyIsNotReused) {
   path_.Configure();
   int number = 0;
   path_.target.on_head = [&](fake_http_target::connection& from) {
@@ -298,14 +300,14 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", std::string(900000, 'x'));
-  EXPECT_EQ(client.Next().status, 413);
+  EXPECT_EQ(client.NextResponse().status, 413);
   client.Request("POST", "/sign/2", "id-2", "y");
-  EXPECT_EQ(client.Next().body, "next");
+  EXPECT_EQ(client.NextResponse().body, "next");
 }
 
 // The target says that it hasn't run the request, and there is no other. The
 // caller is told so, and when to come back.
-TEST_F(forward_path_test, ARefusalOfTheTargetIsToldTruly) {
+TEST_F(forward_path_test, ATargetsRefusalIsReportedAsNotExecuted) {
   path_.Configure();
   path_.target.on_request = [](const read_request& request,
                                const connection_ptr& from) {
@@ -314,7 +316,7 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  const read_response answer = client.Next();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 503);
   EXPECT_TRUE(FindHeader(answer.headers, "Retry-After").has_value());
   EXPECT_FALSE(FindHeader(answer.headers, "Response-Signature").has_value());
@@ -322,7 +324,7 @@
 
 // A target's own 503 without that word has run; passed on as it is, its
 // signature tells the caller whose it is.
-TEST_F(forward_path_test, ATargetsOwnFailureIsPassedOn) {
+TEST_F(forward_path_test, ATargetsOwnFailureIsForwarded) {
   path_.Configure();
   path_.target.on_request = [](const read_request& request,
                                const connection_ptr& from) {
@@ -330,7 +332,7 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  const read_response answer = client.Next();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 500);
   EXPECT_EQ(answer.body, "broken");
   EXPECT_EQ(FindHeader(answer.headers, "Response-Signature"), "s.id-1");
@@ -345,36 +347,36 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  EXPECT_EQ(client.Next().status, 503);
+  EXPECT_EQ(client.NextResponse().status, 503);
 }
 
 // The target does not answer. Its caller is told at the route's timeout that
 // nobody knows, long before its own deadline.
-TEST_F(forward_path_test, TheRoutesTimeoutIsKept) {
+TEST_F(forward_path_test, TheRoutesTimeoutIsEnforced) {
   path_.Configure(milliseconds(200));
   caller client(path_);
   const time_point start = monotonic_clock::now();
   client.Request("POST", "/sign/1", "id-1", "x");
-  EXPECT_EQ(client.Next().status, 504);
+  EXPECT_EQ(client.NextResponse().status, 504);
   EXPECT_GE(monotonic_clock::now() - start, milliseconds(190));
   EXPECT_LE(std::stoi(Header(path_.target.requests[0], "Deadline-Ms")), 200);
 }
 
 // A caller gives up a lookup. The target would go on with work that nobody
 // waits for; its connection is closed, which makes it stop.
-TEST_F(forward_path_test, ALookupWhoseCallerLeavesIsStopped) {
+TEST_F(forward_path_test, ALookupWhoseCallerDisconnectsIsCancelled) {
   path_.Configure();
   caller client(path_);
   client.Request("GET", "/look/1", "id-1");
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.target.requests.size() == 1; }));
-  client.Leave();
+  client.Disconnect();
   ASSERT_TRUE(path_.RunUntil([&] { return path_.target.ended == 1; }));
 }
 
 // The target was restarted while connections to it were kept. The next lookup
 // must not be lost on one of those.
-TEST_F(forward_path_test, AConnectionThatEndedWhileIdleIsNotUsed) {
+TEST_F(forward_path_test, AConnectionClosedWhileIdleIsNotReused) {
   path_.Configure();
   connection_ptr last;
   path_.target.on_request = [&](const read_request& request,
@@ -384,19 +386,19 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  EXPECT_EQ(client.Next().status, 200);
+  EXPECT_EQ(client.NextResponse().status, 200);
   last->Reset();
   path_.RunFor(milliseconds(30));
   client.Request("POST", "/sign/2", "id-2", "x");
-  EXPECT_EQ(client.Next().status, 200);
+  EXPECT_EQ(client.NextResponse().status, 200);
 }
 
-TEST_F(forward_path_test, NobodyAtTheTargetMeansNotExecuted) {
+TEST_F(forward_path_test, AnUnreachableTargetMeansNotExecuted) {
   path_.Configure();
   path_.target.Die();
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  EXPECT_EQ(client.Next().status, 503);
+  EXPECT_EQ(client.NextResponse().status, 503);
 }
 
 // A target calls another one in the last milliseconds before its own caller
@@ -415,30 +417,30 @@
   };
   caller client(path_);
   client.Request("GET", "/look/1", "id-1");
-  EXPECT_EQ(client.Next().status, 200);
+  EXPECT_EQ(client.NextResponse().status, 200);
   client.Send(
       "GET /look/2 HTTP/1.1\r\nHost: a.example\r\nRequest-Id: id-2\r\n"
       "Deadline-Ms: 10\r\n\r\n");
-  EXPECT_EQ(client.Next().status, 503);
+  EXPECT_EQ(client.NextResponse().status, 503);
   EXPECT_EQ(path_.target.requests.size(), 1U);
 }
 
 // A stopping daemon ends each connection behind its answer, so that its callers
 // go elsewhere, and refuses what it could not finish.
-TEST_F(forward_path_test, AStoppingDaemonClosesBehindItsAnswers) {
+TEST_F(forward_path_test, AStoppingDaemonClosesConnectionsAfterAnswers) {
   path_.Configure();
   AnswerAll();
   caller client(path_);
   path_.server.Drain();
   client.Request("GET", "/look/1", "id-1");
-  const read_response answer = client.Next();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 200);
   EXPECT_FALSE(answer.keep_alive);
-  ASSERT_TRUE(path_.RunUntil([&] { return client.ended; }));
+  ASSERT_TRUE(path_.RunUntil([&] { return client.closed; }));
   path_.server.RefuseNew();
   caller late(path_);
   late.Request("GET", "/look/2", "id-2");
-  EXPECT_EQ(late.Next().status, 503);
+  EXPECT_EQ(late.NextResponse().status, 503);
   EXPECT_EQ(path_.target.requests.size(), 1U);
 }
 
@@ -447,7 +449,7 @@
 // request was begun, and cut off 25 ms later with its target at work: the
 // caller of a signature doesn't know whether it ran (soak: cut by a planned
 // stop).
-TEST_F(forward_path_test, AConnectionThatTurnsUpBehindTheEndIsDropped) {
+TEST_F(forward_path_test, AConnectionAcceptedAfterCloseIsDropped) {
   path_.Configure();
   AnswerAll();
   caller first(path_);
@@ -457,49 +459,49 @@
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.server.state().sessions == 1; }));
   path_.server.Close();
-  ASSERT_TRUE(path_.RunUntil([&] { return first.ended && second.ended; }));
+  ASSERT_TRUE(path_.RunUntil([&] { return first.closed && second.closed; }));
   EXPECT_TRUE(path_.target.requests.empty());
   EXPECT_TRUE(second.answers.empty());
 }
 
 // Guards against requests that the end of a planned stop cuts.
-TEST_F(forward_path_test, WhatAStopCannotAwaitIsAnswered) {
+TEST_F(forward_path_test, RequestsThatAStopCannotAwaitAreAnswered) {
   path_.Configure();
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "body");
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.target.requests.size() == 1; }));
   path_.server.Drain();
-  path_.callers.EndOpen();
-  const read_response answer = client.Next();
+  path_.caller_side.EndOpenCalls();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 502);
   EXPECT_FALSE(answer.keep_alive);
-  EXPECT_EQ(path_.callers.counters().ended_by_stop, 1U);
+  EXPECT_EQ(path_.caller_side.counters().ended_by_stop, 1U);
   EXPECT_EQ(path_.server.state().open_requests, 0U);
 }
 
 // Guards against a queue in which requests wait past the end of the process.
 TEST_F(forward_path_test, AStoppingDaemonQueuesNothingPastItsEnd) {
   path_.Configure();
-  path_.calls.SetSlots(1);
+  path_.target_side.SetSlots(1);
   caller first(path_);
   first.Request("POST", "/sign/1", "id-1", "body");
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.target.requests.size() == 1; }));
-  path_.callers.SetEnd(monotonic_clock::now() + milliseconds(100));
+  path_.caller_side.SetAnswerBy(monotonic_clock::now() + milliseconds(100));
   caller second(path_);
   second.Request("POST", "/sign/2", "id-2", "body");
-  EXPECT_EQ(second.Next().status, 503);
+  EXPECT_EQ(second.NextResponse().status, 503);
   EXPECT_EQ(path_.target.requests.size(), 1U);
 }
 
 // Guards against a queued call that is told as unknown though it never ran.
-TEST_F(forward_path_test, AnEndingExecutorTellsWhatHasNotBegun) {
+TEST_F(forward_path_test, AStoppingExecutorReportsQueuedRunsAsNotExecuted) {
   path_.Configure();
-  path_.calls.SetSlots(1);
+  path_.target_side.SetSlots(1);
   std::vector<answer_frame> told;
   for (const std::string id : {"id-1", "id-2"}) {
-    path_.calls.Serve(
+    path_.target_side.Serve(
         {.target_id = "target-1",
          .route = "sign",
          .remaining = milliseconds(2000),
@@ -510,7 +512,7 @@
   }
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.target.requests.size() == 1; }));
-  path_.calls.EndOpen();
+  path_.target_side.EndOpen();
   ASSERT_EQ(told.size(), 2U);
   std::ranges::sort(told, {}, &answer_frame::reached_target);
   EXPECT_EQ(told[0].kind, outcome_kind::kNotExecuted);
@@ -518,7 +520,7 @@
   EXPECT_EQ(told[1].kind, outcome_kind::kUnknown);
 }
 
-TEST_F(forward_path_test, AnswersNonsenseWithAClearRefusal) {
+TEST_F(forward_path_test, MalformedRequestsAreRejected) {
   path_.Configure();
   AnswerAll();
   caller client(path_);
@@ -526,14 +528,14 @@
       "POST /sign/1 HTTP/1.1\r\nHost: a.example\r\n"
       "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
       "0\r\n\r\nGET /look/1 HTTP/1.1\r\n\r\n");
-  const read_response answer = client.Next();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 400);
   EXPECT_FALSE(answer.keep_alive);
-  ASSERT_TRUE(path_.RunUntil([&] { return client.ended; }));
+  ASSERT_TRUE(path_.RunUntil([&] { return client.closed; }));
   EXPECT_TRUE(path_.target.requests.empty());
   caller next(path_);
   next.Request("GET", "/look/2", "id-2");
-  EXPECT_EQ(next.Next().status, 200);
+  EXPECT_EQ(next.NextResponse().status, 200);
 }
 
 }  // namespace
--- a/tests/origin_links_test.cc
+++ b/tests/origin_links_test.cc
@@ -22,13 +22,13 @@
 namespace pistachioweir {
 namespace {
 
-const std::string kFarIp = "127.0.0.9";
+const std::string kRemoteIp = "127.0.0.9";
 
 // A daemon whose target answers each run as soon as it has begun, or never.
-class far_daemon {
+class remote_daemon {
  public:
-  far_daemon(boost::asio::io_context& context, std::uint16_t port)
-      : calls(
+  remote_daemon(boost::asio::io_context& context, std::uint16_t port)
+      : target_side(
             context,
             [this, &context](const target_run&,
                              const std::function<void(run_result)>& done) {
@@ -45,16 +45,16 @@
             },
             log),
         server(context,
-               {.address = {.ip = kFarIp, .port = port},
+               {.address = {.ip = kRemoteIp, .port = port},
                 .self = incarnation_id{9}},
-               calls) {
-    calls.SetSlots(8);
+               target_side) {
+    target_side.SetSlots(8);
   }
 
   call_log log{{}};
   int runs = 0;
   bool answers = true;
-  executor calls;
+  executor target_side;
   peer_server server;
 };
 
@@ -68,13 +68,13 @@
               return [] {};
             },
             log_),
-        calls_(context_,
-               {.vm = "vm-1",
-                .service = "registry",
-                .peer_port = port_,
-                .self = incarnation_id{7}},
-               local_,
-               log_) {
+        origin_(context_,
+                {.vm = "vm-1",
+                 .service = "registry",
+                 .peer_port = port_,
+                 .self = incarnation_id{7}},
+                local_,
+                log_) {
     auto config = std::make_shared<service_config>();
     std::string problem;
     config->routes = *route_table::Make({{.name = "look",
@@ -87,124 +87,127 @@
     view->config = config;
     view->targets = {{.id = "target-1",
                       .service = "registry",
-                      .address = {.ip = kFarIp, .port = 1},
+                      .address = {.ip = kRemoteIp, .port = 1},
                       .slots = 8}};
-    calls_.SetView(view);
+    origin_.SetView(view);
   }
 
   static std::uint16_t FreePort(boost::asio::io_context& context) {
-    const auto listener = Listen(context, {.ip = kFarIp, .port = 0});
+    const auto listener = Listen(context, {.ip = kRemoteIp, .port = 0});
     return LocalEndpoint(listener).port;
   }
 
-  // `told` is filled in once the request has an answer.
-  void Submit(const std::string& verb, std::optional<relayed_result>* told) {
-    calls_.Submit({.id = "id",
-                   .host = "a.example",
-                   .request = {.verb = verb, .target = "/look"},
-                   .received = monotonic_clock::now()},
-                  [told](relayed_result result) { *told = std::move(result); });
+  // `outcome` is filled in once the request has an answer.
+  void Submit(const std::string& verb, std::optional<relayed_result>* outcome) {
+    origin_.Submit(
+        {.id = "id",
+         .host = "a.example",
+         .request = {.verb = verb, .target = "/look"},
+         .received = monotonic_clock::now()},
+        [outcome](relayed_result result) { *outcome = std::move(result); });
   }
 
   // What becomes of one request.
-  outcome_kind Ask() {
-    std::optional<relayed_result> told;
-    Submit("GET", &told);
-    EXPECT_TRUE(RunUntil(context_, [&] { return told.has_value(); }));
-    return told.value_or(relayed_result()).kind;
+  outcome_kind Request() {
+    std::optional<relayed_result> outcome;
+    Submit("GET", &outcome);
+    EXPECT_TRUE(RunUntil(context_, [&] { return outcome.has_value(); }));
+    return outcome.value_or(relayed_result()).kind;
   }
 
-  // One that a target begins and never answers; `meanwhile` happens in between.
-  outcome_kind AskInVain(far_daemon* far,
-                         const std::function<void()>& meanwhile) {
-    far->answers = false;
-    std::optional<relayed_result> told;
-    Submit("POST", &told);
-    EXPECT_TRUE(RunUntil(context_, [&] { return far->runs == 1; }));
-    meanwhile();
-    EXPECT_TRUE(RunUntil(context_, [&] { return told.has_value(); }));
-    return told ? told->kind : outcome_kind::kCompleted;
+  // One that a target begins and never answers; `while_running` happens in
+  // between.
+  outcome_kind SubmitUnanswered(remote_daemon* remote,
+                                const std::function<void()>& while_running) {
+    remote->answers = false;
+    std::optional<relayed_result> outcome;
+    Submit("POST", &outcome);
+    EXPECT_TRUE(RunUntil(context_, [&] { return remote->runs == 1; }));
+    while_running();
+    EXPECT_TRUE(RunUntil(context_, [&] { return outcome.has_value(); }));
+    return outcome ? outcome->kind : outcome_kind::kCompleted;
   }
 
   boost::asio::io_context context_;
   const std::uint16_t port_;
   call_log log_{{}};
   executor local_;
-  origin calls_;
+  origin origin_;
 };
 
 // A VM is cut off for longer than connections without calls are kept. Nobody
-// sends it calls meanwhile, since it is known to be out of reach, so its
+// sends it calls while_running, since it is known to be out of reach, so its
 // connection counted as unused, and with it ended the only attempts to reach
 // it: a daemon went without that target for good, and refused requests when the
 // others were gone (soak seed 506: peer_reachable reachable=no, and none with
 // yes for 13 s though the peer was well).
 TEST_F(origin_links_test, APeerThatComesBackAfterALongTimeIsUsedAgain) {
-  EXPECT_EQ(Ask(), outcome_kind::kNotExecuted);
-  calls_.Tick(monotonic_clock::now() + seconds(61));
-  far_daemon back(context_, port_);
+  EXPECT_EQ(Request(), outcome_kind::kNotExecuted);
+  origin_.Tick(monotonic_clock::now() + seconds(61));
+  remote_daemon back(context_, port_);
   ASSERT_TRUE(RunUntil(context_, [&] { return back.server.sessions() == 1; }));
-  ASSERT_TRUE(
-      RunUntil(context_, [&] { return Ask() == outcome_kind::kCompleted; }));
+  ASSERT_TRUE(RunUntil(context_,
+                       [&] { return Request() == outcome_kind::kCompleted; }));
   EXPECT_EQ(back.runs, 1);
 }
 
 // The daemon beside the only target is reached again 20 ms after a request has
 // found nobody. The request was refused, with 2 s left, and its caller had to
 // spend a retry on that.
-TEST_F(origin_links_test, ARequestOutlivesAMomentWithoutTargets) {
-  std::optional<relayed_result> told;
-  Submit("GET", &told);
+TEST_F(origin_links_test, ARequestSurvivesABriefLackOfTargets) {
+  std::optional<relayed_result> outcome;
+  Submit("GET", &outcome);
   // The connection is refused as soon as the context runs, not before.
   const time_point refused = monotonic_clock::now() + milliseconds(20);
   RunUntil(context_, [&] { return monotonic_clock::now() >= refused; });
-  const far_daemon back(context_, port_);
-  ASSERT_TRUE(RunUntil(context_, [&] { return told.has_value(); }));
-  EXPECT_EQ(told->kind, outcome_kind::kCompleted);
+  const remote_daemon back(context_, port_);
+  ASSERT_TRUE(RunUntil(context_, [&] { return outcome.has_value(); }));
+  EXPECT_EQ(outcome->kind, outcome_kind::kCompleted);
 }
 
 // Guards against requests that reach a target its own daemon knows to have
 // left.
 TEST_F(origin_links_test, ATargetThatHasLeftGetsNoRequests) {
-  far_daemon far(context_, port_);
-  far.calls.SetViewState([] { return view_state{.revision = 1}; },
-                         [] { return milliseconds(0); },
-                         [] { return std::optional<milliseconds>(); });
-  far.calls.SetListedTarget(std::string());
-  EXPECT_EQ(Ask(), outcome_kind::kCompleted);
+  remote_daemon remote(context_, port_);
+  remote.target_side.SetViewState([] { return view_state{.revision = 1}; },
+                                  [] { return milliseconds(0); },
+                                  [] { return std::optional<milliseconds>(); });
+  remote.target_side.SetListedTarget(std::string());
+  EXPECT_EQ(Request(), outcome_kind::kCompleted);
   const time_point known = monotonic_clock::now();
   RunUntil(context_, [&] {
     return monotonic_clock::now() > known + target_vouching::kStillServes;
   });
-  EXPECT_EQ(Ask(), outcome_kind::kNotExecuted);
-  EXPECT_EQ(far.runs, 1);
+  EXPECT_EQ(Request(), outcome_kind::kNotExecuted);
+  EXPECT_EQ(remote.runs, 1);
 }
 
-// Guards against a request that is told as unknown though it has not left.
-TEST_F(origin_links_test, WhatHasNotLeftIsToldAsNotExecutedAtTheEnd) {
-  const auto silent = Listen(context_, {.ip = kFarIp, .port = port_});
-  std::optional<relayed_result> told;
-  Submit("GET", &told);
+// Guards against a request that is outcome as unknown though it has not left.
+TEST_F(origin_links_test, UnsentRequestsAreReportedAsNotExecutedAtStop) {
+  const auto silent = Listen(context_, {.ip = kRemoteIp, .port = port_});
+  std::optional<relayed_result> outcome;
+  Submit("GET", &outcome);
   context_.poll();
-  calls_.EndOpen();
-  ASSERT_TRUE(told.has_value());
-  EXPECT_EQ(told->kind, outcome_kind::kNotExecuted);
-  EXPECT_EQ(told->why, reason::kDraining);
-  EXPECT_GT(told->retry_after, milliseconds(0));
+  origin_.EndOpenCalls();
+  ASSERT_TRUE(outcome.has_value());
+  EXPECT_EQ(outcome->kind, outcome_kind::kNotExecuted);
+  EXPECT_EQ(outcome->why, reason::kDraining);
+  EXPECT_GT(outcome->retry_after, milliseconds(0));
 }
 
 // Guards against a stop that closes early because a connection was lost.
-TEST_F(origin_links_test, TimeLostOnTheWayIsNotWhatRequestsNeed) {
-  auto far = std::make_unique<far_daemon>(context_, port_);
-  EXPECT_EQ(AskInVain(far.get(), [&] { far.reset(); }), outcome_kind::kUnknown);
-  EXPECT_EQ(calls_.Longest(monotonic_clock::now()), duration(0));
+TEST_F(origin_links_test, TimeLostToTheNetworkIsNotRequestTime) {
+  auto remote = std::make_unique<remote_daemon>(context_, port_);
+  EXPECT_EQ(SubmitUnanswered(remote.get(), [&] { remote.reset(); }),
+            outcome_kind::kUnknown);
+  EXPECT_EQ(origin_.MaxRequestTime(monotonic_clock::now()), duration(0));
 }
 
 // Guards against a stop that closes too late for a slow target.
-TEST_F(origin_links_test, TimeAtATargetIsWhatRequestsNeed) {
-  far_daemon far(context_, port_);
-  EXPECT_EQ(AskInVain(&far, [] {}), outcome_kind::kUnknown);
-  EXPECT_GT(calls_.Longest(monotonic_clock::now()), milliseconds(1500));
+TEST_F(origin_links_test, TimeAtATargetIsRequestTime) {
+  remote_daemon remote(context_, port_);
+  EXPECT_EQ(SubmitUnanswered(&remote, [] {}), outcome_kind::kUnknown);
+  EXPECT_GT(origin_.MaxRequestTime(monotonic_clock::now()), milliseconds(1500));
 }
 
 }  // namespace
--- a/tests/stop_plan_test.cc
+++ b/tests/stop_plan_test.cc
@@ -12,14 +12,14 @@
 const time_point kStart{seconds(1000)};
 constexpr milliseconds kTimeout{6000};
 
-TEST(StopPlanTest, StaysUntilCallersHaveHeard) {
+TEST(StopPlanTest, StaysUntilCallersHaveSeenItUnready) {
   stop_plan plan;
   plan.Begin(kStart, kTimeout);
   EXPECT_FALSE(plan.IsOver({}, kStart + milliseconds(2000)));
   EXPECT_TRUE(plan.IsOver({}, kStart + milliseconds(2400)));
 }
 
-TEST(StopPlanTest, WaitsForWhatIsInProgressButNotForever) {
+TEST(StopPlanTest, WaitsForOpenRequestsOnlyUntilTheDeadline) {
   stop_plan plan;
   plan.Begin(kStart, kTimeout);
   EXPECT_FALSE(plan.IsOver({.open_requests = 1}, kStart + seconds(4)));
@@ -27,7 +27,7 @@
   EXPECT_TRUE(plan.IsOver({.runs = 1}, kStart + milliseconds(5700)));
 }
 
-TEST(StopPlanTest, GoesOnceNothingNewComes) {
+TEST(StopPlanTest, EndsOnceNoRequestsArrive) {
   stop_plan plan;
   plan.Begin(kStart, kTimeout);
   EXPECT_FALSE(plan.IsOver({.requests_read = 5}, kStart + milliseconds(2400)));
@@ -39,35 +39,37 @@
 // the platform to send them away. A request that was taken 4.5 s after the
 // signal was cut off when the daemon ended a second later, with its target at
 // work: its caller got no answer.
-TEST(StopPlanTest, TakesNothingThatItCouldNotFinish) {
+TEST(StopPlanTest, RefusesRequestsThatItCouldNotFinish) {
   stop_plan plan;
-  EXPECT_TRUE(plan.TakesNew(kStart));
+  EXPECT_TRUE(plan.AcceptsRequests(kStart));
   plan.Begin(kStart, kTimeout);
-  EXPECT_TRUE(plan.TakesNew(kStart + milliseconds(2400)));
-  EXPECT_FALSE(plan.TakesNew(kStart + milliseconds(2600)));
-  EXPECT_FALSE(plan.TakesNew(kStart + milliseconds(4500)));
+  EXPECT_TRUE(plan.AcceptsRequests(kStart + milliseconds(2400)));
+  EXPECT_FALSE(plan.AcceptsRequests(kStart + milliseconds(2600)));
+  EXPECT_FALSE(plan.AcceptsRequests(kStart + milliseconds(4500)));
 }
 
-TEST(StopPlanTest, AShortTimeToStopLeavesHalfForWhatIsInProgress) {
+TEST(StopPlanTest, AShortTimeoutReservesHalfForOpenRequests) {
   stop_plan plan;
   plan.Begin(kStart, milliseconds(2000));
-  EXPECT_TRUE(plan.TakesNew(kStart + milliseconds(700)));
-  EXPECT_FALSE(plan.TakesNew(kStart + milliseconds(900)));
+  EXPECT_TRUE(plan.AcceptsRequests(kStart + milliseconds(700)));
+  EXPECT_FALSE(plan.AcceptsRequests(kStart + milliseconds(900)));
 }
 
 struct stop_result {
   int refused = 0;       // Requests that a caller was turned away with.
-  int cut = 0;           // In progress when the daemon ended.
+  int interrupted = 0;   // In progress when the daemon ended.
   milliseconds took{0};  // From the signal to the end.
 };
 
 // Callers that send the next request some time after each answer, over
 // connections that they have or open anew, until the daemon has gone. The state
 // is looked at as often as the daemon does.
-stop_result StopUnder(int callers, milliseconds request, milliseconds rest) {
+stop_result SimulateStop(int callers,
+                         milliseconds request,
+                         milliseconds pause) {
   constexpr milliseconds kStep{25};
   stop_plan plan;
-  stop_progress progress{.longest = request};
+  stop_progress progress{.max_request_time = request};
   std::vector<milliseconds> answered_at(static_cast<std::size_t>(callers));
   std::vector<milliseconds> next_at(static_cast<std::size_t>(callers));
   for (std::size_t i = 0; i < next_at.size(); ++i) {
@@ -78,18 +80,18 @@
   for (milliseconds now{0}; now <= kTimeout; now += kStep) {
     progress.open_requests = 0;
     for (std::size_t i = 0; i < next_at.size(); ++i) {
-      if (next_at[i] <= now && plan.IsOpen(kStart + now)) {
-        const bool taken = plan.TakesNew(kStart + now);
+      if (next_at[i] <= now && plan.AcceptsConnections(kStart + now)) {
+        const bool taken = plan.AcceptsRequests(kStart + now);
         result.refused += taken ? 0 : 1;
         answered_at[i] = now + (taken ? request : milliseconds(0));
-        next_at[i] = answered_at[i] + rest;
+        next_at[i] = answered_at[i] + pause;
         ++progress.requests_read;
       }
       progress.open_requests += answered_at[i] > now ? 1 : 0;
     }
     if (plan.IsOver(progress, kStart + now)) {
       result.took = now;
-      result.cut = static_cast<int>(progress.open_requests);
+      result.interrupted = static_cast<int>(progress.open_requests);
       return result;
     }
   }
@@ -103,26 +105,26 @@
 // three seconds, 1,621 of 6,207 requests (log: refused_at_entrance
 // why=draining).
 TEST(StopPlanTest, ServesCallersThatStayUntilItEnds) {
-  const stop_result few = StopUnder(4, milliseconds(65), milliseconds(75));
+  const stop_result few = SimulateStop(4, milliseconds(65), milliseconds(75));
   EXPECT_EQ(few.refused, 0);
-  EXPECT_EQ(few.cut, 0);
+  EXPECT_EQ(few.interrupted, 0);
   // And it doesn't wait for callers that never go.
   EXPECT_LT(few.took, milliseconds(4000));
 }
 
-TEST(StopPlanTest, ABusyDaemonTurnsNobodyAwayEither) {
-  const stop_result many = StopUnder(60, milliseconds(120), milliseconds(0));
+TEST(StopPlanTest, ABusyDaemonRefusesNoRequests) {
+  const stop_result many = SimulateStop(60, milliseconds(120), milliseconds(0));
   EXPECT_EQ(many.refused, 0);
-  EXPECT_EQ(many.cut, 0);
+  EXPECT_EQ(many.interrupted, 0);
   EXPECT_GT(many.took, milliseconds(4500));
 }
 
 // With requests that take long, some are taken so late that they would be cut
 // off if the daemon went on taking them.
-TEST(StopPlanTest, LongRequestsAreNotCutOff) {
+TEST(StopPlanTest, LongRequestsAreNotInterrupted) {
   for (const milliseconds request :
        {milliseconds(600), milliseconds(1300), milliseconds(2700)}) {
-    EXPECT_EQ(StopUnder(30, request, milliseconds(50)).cut, 0)
+    EXPECT_EQ(SimulateStop(30, request, milliseconds(50)).interrupted, 0)
         << request.count();
   }
 }
@@ -132,11 +134,11 @@
 TEST(StopPlanTest, StaysWhileOtherDaemonsNeedItsTarget) {
   stop_plan plan;
   plan.Begin(kStart, kTimeout);
-  stop_progress progress{.longest = milliseconds(100)};
+  stop_progress progress{.max_request_time = milliseconds(100)};
   for (milliseconds now{0}; now < milliseconds(4000); now += milliseconds(50)) {
     ++progress.calls_read;
     EXPECT_FALSE(plan.IsOver(progress, kStart + now)) << now.count();
-    EXPECT_TRUE(plan.IsOpen(kStart + now));
+    EXPECT_TRUE(plan.AcceptsConnections(kStart + now));
   }
   EXPECT_TRUE(plan.IsOver(progress, kStart + milliseconds(4300)));
 }
--- a/tests/support/forward_path.h
+++ b/tests/support/forward_path.h
@@ -37,7 +37,7 @@
       const std::function<void(origin_options*)>& adjust = nullptr)
       : target(context),
         pool(context, target.address(), {}),
-        calls(
+        target_side(
             context,
             [this](target_run run, std::function<void(run_result)> done) {
               const auto handle = pool.Run(std::move(run), std::move(done));
@@ -45,8 +45,10 @@
                   [handle] { target_pool<platform::targets>::Cancel(handle); };
             },
             executor_log),
-        callers(context, Options(adjust), calls, origin_log),
-        server(context, {.address = {.ip = "127.0.0.1", .port = 0}}, callers) {}
+        caller_side(context, Options(adjust), target_side, origin_log),
+        server(context,
+               {.address = {.ip = "127.0.0.1", .port = 0}},
+               caller_side) {}
 
   // Requests carry keys if there are organisations.
   void Configure(milliseconds timeout = milliseconds(5000),
@@ -81,8 +83,8 @@
                       .address = target.address(),
                       .data_centre = "waw-a",
                       .slots = 8}};
-    calls.SetSlots(8);
-    callers.SetView(view);
+    target_side.SetSlots(8);
+    caller_side.SetView(view);
   }
 
   ::testing::AssertionResult RunUntil(const std::function<bool()>& done) {
@@ -99,8 +101,8 @@
   call_log executor_log{{}};
   fake_http_target target;
   target_pool<platform::targets> pool;
-  executor calls;
-  origin callers;
+  executor target_side;
+  origin caller_side;
   caller_server<platform::callers> server;
 
  private:
@@ -135,25 +137,25 @@
                const std::string& target,
                const std::string& id,
                const std::string& body = "",
-               const std::string& more = "") {
+               const std::string& extra_headers = "") {
     std::string text = verb + " " + target +
                        " HTTP/1.1\r\nHost: a.example\r\nRequest-Id: " + id +
-                       "\r\nDeadline-Ms: 4000\r\n" + more;
+                       "\r\nDeadline-Ms: 4000\r\n" + extra_headers;
     if (!body.empty() || verb != "GET") {
       text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     }
     Send(text + "\r\n" + body);
   }
 
-  void Leave() {
+  void Disconnect() {
     boost::system::error_code ignored;
     socket_.close(ignored);
   }
 
   // The next whole answer.
-  read_response Next() {
+  read_response NextResponse() {
     read_response next;
-    EXPECT_TRUE(path_.RunUntil([&] { return !answers.empty() || ended; }));
+    EXPECT_TRUE(path_.RunUntil([&] { return !answers.empty() || closed; }));
     if (!answers.empty()) {
       next = answers.front();
       answers.erase(answers.begin());
@@ -162,7 +164,7 @@
   }
 
   std::vector<read_response> answers;
-  bool ended = false;
+  bool closed = false;
 
  private:
   void Read() {
@@ -170,16 +172,16 @@
         boost::asio::buffer(chunk_),
         [this](boost::system::error_code error, std::size_t bytes) {
           if (error) {
-            ended = true;
+            closed = true;
             return;
           }
           buffer_.append(chunk_.data(), bytes);
-          Digest();
+          ParseResponses();
           Read();
         });
   }
 
-  void Digest() {
+  void ParseResponses() {
     while (!buffer_.empty()) {
       response_reader reader({}, false);
       std::size_t taken = 0;
