--- a/include/admit/admission_controller.h
+++ b/include/admit/admission_controller.h
@@ -1,12 +1,12 @@
 // admission_controller: decides for one target which requests run now, which
-// wait and which are refused.
+// are queued and which are refused.
 //
-// Pure logic: no I/O, no threads, time and random bits are arguments. The
-// owner keeps one per target under its own lock, tells it of every request
-// that comes and ends, and carries out what TakeNext() hands back. Made for
-// demand above what the target can finish: it keeps the target's concurrency
-// where it works best, the queue no longer than deadlines allow, and refuses
-// the least important requests first, at once and with a time to come back.
+// Pure logic: no I/O and no threads; time and random bits are arguments. The
+// owner keeps one per target under its own lock, reports every request that
+// arrives and ends, and carries out what TakeNext() returns. For demand above
+// the target's capacity: it keeps the target at its most effective concurrency
+// and the queue no longer than deadlines allow, and refuses the least important
+// requests first, at once and with a retry delay.
 #pragma once
 
 #include <array>
@@ -25,28 +25,27 @@
 namespace pistachioweir {
 
 struct admission_options {
-  // Requests that the target runs at a time, from the manifest.
+  // Maximum number of concurrent requests, from the manifest.
   std::uint32_t slots = 1;
   // Methods of the service; a request names its method by index.
   std::uint32_t methods = 1;
-  // Requests that may wait. Bounds memory; deadlines bound the wait long
-  // before.
+  // Maximum queue length. Bounds memory; deadlines bound the wait long before.
   std::uint32_t max_queue = 1024;
-  // Whether the concurrency limit is learnt; else it is `slots`.
+  // Whether the concurrency limit adapts to latency; otherwise it is `slots`.
   bool adaptive_limit = true;
-  // Whether an admission level is kept; else it stays at zero.
+  // Whether an admission level is used; otherwise it stays at zero.
   bool use_level = true;
-  // Whether priorities and deadlines order and bound the queue; else it is a
-  // plain bounded FIFO.
+  // Whether priorities and deadlines order and bound the queue; otherwise it is
+  // a plain bounded FIFO.
   bool use_deadlines = true;
-  // Part of the started work, by its expected duration, that less important
-  // requests get while more important ones wait too; zero for strict order. A
-  // service that more important work can fill for long would else not serve its
-  // least important callers at all.
+  // Share of the started work, by its expected duration, that less important
+  // requests get while more important ones are queued; zero for strict priority
+  // order. Without it, a long period of more important work would starve the
+  // least important callers completely.
   double assured_share = 0;
 };
 
-// Names one offered request until it ends.
+// Identifies one offered request until it ends.
 struct admission_handle {
   std::uint32_t index = 0;
   std::uint32_t generation = 0;
@@ -59,19 +58,19 @@
   priority level = priority::kNormal;
   std::uint8_t ticket = 0;
   std::uint32_t method = 0;
-  // Other targets have worked for the root request already: its depth is not
+  // Other targets have already worked on the root request: its depth is not
   // zero.
   bool is_nested = false;
   time_point deadline;
-  // The owner's name for the request, handed back with events.
+  // The owner's identifier for the request, returned with events.
   std::uint64_t cookie = 0;
 };
 
 enum class admission_action : std::uint8_t { kRun, kQueued, kRefused };
 
-// What becomes of a request. With kRefused nothing ran, `why` tells the
-// reason and `retry_after` when to come back; the request has ended. With kRun
-// the owner runs it and calls Finish() once.
+// The decision about a request. With kRefused nothing ran and the request has
+// ended; `why` is the reason and `retry_after` when the caller should retry.
+// With kRun the owner runs it and calls Finish() once.
 struct admission_decision {
   admission_action action = admission_action::kRefused;
   admission_handle handle;
@@ -87,28 +86,28 @@
 
 // How a run ended.
 struct finish_report {
-  // The part of the run that was spent waiting for calls that the target made
-  // to other services. Their slowness must not lower this target's limit.
+  // Time that the run spent waiting for calls that the target made to other
+  // services. Their slowness must not lower this target's limit.
   duration downstream{0};
-  // Whether the target answered; a run that was cut short, timed out or was
-  // refused by the target says only that it would have taken longer.
+  // Whether the target answered. The duration of a run that was aborted, timed
+  // out or was refused by the target is only a lower bound.
   bool answered = true;
-  // The target refused for want of capacity.
+  // The target refused the request for lack of capacity.
   bool target_refused = false;
 };
 
-// What rides on every answer.
+// Load information that is piggybacked on every answer.
 struct load_report {
   admission_rank admission_level = 0;
   std::uint32_t in_flight = 0;
   std::uint32_t queued = 0;
   std::uint32_t limit = 1;
-  // How near calls of targets, here or further down, are to being refused: in
-  // thousandths of the wait that they are meant to have at most.
+  // How close calls made by targets, here or further downstream, are to being
+  // refused: in thousandths of their maximum intended wait.
   std::uint32_t pressure = 0;
 };
 
-// Counts since the start, by priority where that matters.
+// Counts since the start; refusals by priority.
 struct admission_counters {
   std::uint64_t offered = 0;
   std::uint64_t started = 0;
@@ -121,49 +120,50 @@
  public:
   explicit admission_controller(const admission_options& options);
 
-  // Decides about a new request. May give up queued requests of less
-  // importance: call TakeNext() until it returns nothing afterwards.
+  // Decides about a new request. May evict less important queued requests: call
+  // TakeNext() afterwards until it returns nothing.
   admission_decision Offer(const admission_request& request,
                            time_point now,
                            std::uint32_t random);
 
-  // The next queued request that is to run or is given up, or nothing. Call
+  // Returns the next queued request to run or to refuse, or nothing. Call it
   // until it returns nothing after Offer(), Finish(), Cancel() and at
   // next_wakeup().
   std::optional<admission_event> TakeNext(time_point now, std::uint32_t random);
 
-  // A request that ran has ended. Frees its slot.
+  // A running request has ended. Frees its slot.
   void Finish(admission_handle handle,
               const finish_report& report,
               time_point now);
 
-  // The caller has gone. True if the request was still queued: it has ended,
-  // nothing ran. False if it runs (Finish() is still due) or has ended.
+  // The caller has disconnected. Returns true if the request was still queued:
+  // it has ended and nothing ran. Returns false if it is running (Finish() is
+  // still due) or has ended.
   bool Cancel(admission_handle handle);
 
-  // Requests of `method` below `level` would be refused further down the call
-  // chain; refusing them here saves the work in between. Holds for a short
-  // time only, so repeat it with every answer from below.
+  // Requests of `method` below `level` would be refused further downstream;
+  // refusing them here saves the work in between. Expires after a short time,
+  // so call it again for every downstream answer.
   void SetDownstreamLevel(std::uint32_t method,
                           admission_rank level,
                           time_point now);
 
-  // Whether the target beside the daemon is up. While it isn't, everything is
-  // refused as kNotReady and the level told to callers refuses all, so that
-  // they don't spend tries here.
+  // Whether the target beside the daemon is up. While it is down, every request
+  // is refused as kNotReady and the level reported to callers refuses
+  // everything, so that they don't spend attempts here.
   void SetAvailable(bool available) { available_ = available; }
 
-  // A newer manifest is in force. Methods are named by its indices from now
-  // on. Requests in progress are kept.
+  // A newer manifest is in force; its method indices apply from now on.
+  // Requests in progress are kept.
   void Reconfigure(std::uint32_t slots, std::uint32_t methods);
 
-  // When TakeNext() should be called even if nothing else happens.
+  // When TakeNext() must be called at the latest, even without another event.
   [[nodiscard]] time_point next_wakeup() const;
-  // How long a request of this importance would wait if it came now.
+  // Expected queueing time of a request with this priority that arrives now.
   [[nodiscard]] duration EstimatedWait(priority level) const;
   [[nodiscard]] load_report Report(std::uint32_t method, time_point now) const;
   [[nodiscard]] const admission_counters& counters() const { return counters_; }
-  // The level that this target sets itself, without those further down.
+  // The target's own level, without the downstream ones.
   [[nodiscard]] admission_rank own_level() const { return level_.level(); }
   [[nodiscard]] std::uint32_t limit() const;
   [[nodiscard]] std::uint32_t running() const { return running_; }
@@ -229,10 +229,10 @@
   std::vector<item> items_;  // A fixed pool; never grows while serving.
   std::uint32_t first_free_ = kNone;
   std::array<item_list, kPriorityCount> queues_;  // Most important first.
-  // Work that each class may start ahead of more important ones; zero for those
-  // with nothing queued.
+  // Work that each priority may start ahead of more important ones; zero for
+  // those with an empty queue.
   std::array<duration, kPriorityCount> assured_{};
-  item_list evicted_;          // Not yet told by TakeNext().
+  item_list evicted_;          // Not yet returned by TakeNext().
   std::uint32_t queued_ = 0;   // Items in `queues_`; at most max_queue.
   std::uint32_t running_ = 0;  // At most the limit that held when started.
   time_point next_sweep_;
--- a/include/admit/admission_level.h
+++ b/include/admit/admission_level.h
@@ -1,10 +1,10 @@
-// admission_level: the rank below which requests are refused, raised while a
-// queue stands and lowered step by step when it has gone.
+// admission_level: the rank below which requests are refused. Raised while
+// there is a standing queue and lowered stepwise once it has cleared.
 //
-// Made for demand that stays above capacity: a queue alone then only adds its
-// length to every latency, and work is done upstream for requests that this
-// target can't finish. The level rides on answers, so that callers' daemons
-// refuse at the entrance.
+// For demand that stays above capacity: a queue alone would only add its length
+// to every latency, and upstream services would work for requests that this
+// target can't finish. Answers carry the level, so that callers' daemons refuse
+// requests before sending them.
 #pragma once
 
 #include <array>
@@ -17,24 +17,25 @@
 
 class admission_level {
  public:
-  // A request with `rank` came and was not below the level.
+  // A request with `rank` arrived and was not below the level.
   void OnArrival(admission_rank rank, time_point now);
-  // A request was started; the work that still waits takes `delay`. Not what
-  // this request has waited: an important one passes a queue that stands.
+  // A request was started; the remaining queue holds `delay` of work. This is
+  // not the time that this request waited: an important one overtakes a
+  // standing queue.
   void OnStart(duration delay, time_point now);
   void OnFinish(time_point now);
-  // A request was refused because it couldn't have finished in time, or had to
-  // make room.
+  // A request was refused because it couldn't have finished in time, or was
+  // evicted for a more important one.
   void OnLoadRefusal(time_point now);
   // A slot was free while nothing was queued.
   void OnIdle(time_point now);
-  // At once to at least `level`.
+  // Raises the level to at least `level` immediately.
   void RaiseTo(admission_rank level);
 
   [[nodiscard]] admission_rank level() const { return level_; }
 
-  // How often the level is judged. A tenth of a short deadline, so that it is
-  // in force before the requests that it refuses would have failed.
+  // Evaluation interval. A tenth of a short deadline, so that a new level takes
+  // effect before the requests that it refuses would have failed.
   static constexpr milliseconds kWindow{20};
 
  private:
@@ -47,7 +48,7 @@
   [[nodiscard]] admission_rank MaxUsefulLevel() const;
 
   admission_rank level_ = 0;
-  double step_ = 0;  // Of the last lowering, as a part of the capacity.
+  double step_ = 0;  // Of the last decrease, as a fraction of capacity.
   std::array<std::uint32_t, kBins> arrivals_{};
   std::uint32_t arrived_ = 0;
   std::uint32_t started_ = 0;
--- a/include/admit/admission_rank.h
+++ b/include/admit/admission_rank.h
@@ -7,8 +7,8 @@
 
 namespace pistachioweir {
 
-// Higher is refused later. An admission level is a rank too: requests whose
-// rank is below the level are refused, so level 0 refuses nothing.
+// Higher ranks are refused later. An admission level is a rank too: requests
+// whose rank is below the level are refused, so level 0 refuses nothing.
 using admission_rank = std::uint32_t;
 
 inline constexpr admission_rank kRanksPerPriority = 256;
@@ -22,16 +22,17 @@
 
 // Priority first; within a priority the ticket that was drawn at the root, so
 // that a level refuses the same call trees at every hop instead of a random
-// part of each.
+// subset at each.
 [[nodiscard]] constexpr admission_rank RankOf(priority level,
                                               std::uint8_t ticket) {
   return LowestRank(level) + ticket;
 }
 
-// Whether `level` refuses a request. One that other targets have already worked
-// for is refused only where critical ones are about to be: the entrance refuses
-// by the same level, and a level that has just risen would waste all that is on
-// its way down the chain.
+// Whether `level` refuses a request. A nested one, on which other targets have
+// already worked, is refused only if the level exceeds the lowest critical
+// rank: requests are refused by the same level before they enter the chain, and
+// a level that has just risen would otherwise discard the work on everything in
+// progress along the chain.
 [[nodiscard]] constexpr bool IsRefusedBy(admission_rank level,
                                          priority importance,
                                          std::uint8_t ticket,
--- a/include/admit/concurrency_limit.h
+++ b/include/admit/concurrency_limit.h
@@ -1,12 +1,11 @@
-// concurrency_limit: how many requests a target should run at a time, learnt
-// from how its latency answers to concurrency.
+// concurrency_limit: how many requests a target should run concurrently,
+// adapted to how its latency responds to concurrency.
 //
-// Made for a target that gives less than its manifest says (a noisy
-// neighbour, a wrong manifest, a load endpoint that misleads). Requests above
-// what it can run wait inside it, where they can't be ordered, refused or
-// given up. Latency that rises is no proof of that, since slow work looks the
-// same; so the limit is lowered step by step and restored if latency doesn't
-// fall with it.
+// For a target with less capacity than its manifest says (a noisy neighbour, a
+// wrong manifest, a misleading load endpoint). Requests above its capacity wait
+// inside it, where they can't be ordered, refused or evicted. Rising latency
+// alone doesn't prove this, since slower work looks the same; so the limit is
+// decreased stepwise and restored if latency doesn't fall with it.
 #pragma once
 
 #include <cstdint>
@@ -17,20 +16,21 @@
 
 class concurrency_limit {
  public:
-  // `slots` caps the limit, which starts there.
+  // The limit starts at `slots`, which is also its maximum.
   explicit concurrency_limit(std::uint32_t slots);
 
-  // A request ended that ran for `latency` without waiting for others, where
-  // `expected` is the usual latency of its method; `running` counts it too.
+  // A request has ended that ran for `latency`, excluding time spent on
+  // downstream calls. `expected` is the usual latency; `running` includes this
+  // request.
   void Add(duration latency,
            duration expected,
            std::uint32_t running,
            time_point now);
-  // The target itself refused for want of capacity.
+  // The target itself refused a request for lack of capacity.
   void OnTargetRefused(std::uint32_t running, time_point now);
   void SetSlots(std::uint32_t slots);
 
-  // At least 1 and at most the slots.
+  // Between 1 and the number of slots.
   [[nodiscard]] std::uint32_t value() const;
 
  private:
@@ -38,9 +38,8 @@
 
   double limit_;
   std::uint32_t slots_;
-  double baseline_ = 0;  // Mean latency ratio at which nothing waits.
-  double ratio_before_decrease_ =
-      0;  // Ratio before the last lowering; 0 if none.
+  double baseline_ = 0;               // Mean latency ratio without queueing.
+  double ratio_before_decrease_ = 0;  // 0 if not just decreased.
   double limit_before_decrease_ = 0;
   double sum_ = 0;
   std::uint32_t samples_ = 0;
--- a/include/admit/service_time.h
+++ b/include/admit/service_time.h
@@ -1,20 +1,20 @@
-// service_time: a running estimate of how long requests of one kind take.
+// service_time: a running estimate of the duration of requests of one kind.
 #pragma once
 
 #include "include/base/time.h"
 
 namespace pistachioweir {
 
-// Mean and mean deviation, weighted towards recent samples.
+// Exponentially weighted mean and mean deviation.
 class service_time {
  public:
   void Add(duration sample, time_point now);
 
-  // Zero as long as nothing has been measured. Halves for each while without
-  // samples: an estimate that is too long makes every deadline look
-  // infeasible, so that nothing runs and nothing corrects it.
+  // Zero until the first sample. Halves for each kHalvingPeriod without
+  // samples: an estimate that is too long makes every deadline look infeasible,
+  // so that nothing runs and nothing corrects it.
   [[nodiscard]] duration Mean(time_point now) const;
-  // A duration that most requests stay within.
+  // Mean plus mean deviation; most requests stay within it.
   [[nodiscard]] duration UpperEstimate(time_point now) const;
 
  private:
--- a/include/retry/downstream_failure_rate.h
+++ b/include/retry/downstream_failure_rate.h
@@ -1,4 +1,4 @@
-// downstream_failure_rate: how large a part of the calls that a target makes
+// downstream_failure_rate: failure rate of the calls that a target makes.
 // fail.
 #pragma once
 
@@ -8,24 +8,23 @@
 
 namespace pistachioweir {
 
-// Made for a service that turns away half of its calls wherever they go. Each
-// request that needs several of them fails, and to run it again at another
-// target helps in one case of ten or twenty, but makes all its calls once more:
-// the repeats of requests become several times as many repeats of calls, which
-// are bounded, and none are left for the calls themselves, where every second
-// repeat would help. So a failed request is not repeated while its target's
-// calls fail often.
+// For a downstream service that refuses half of its calls at every target. Each
+// request that needs several of them fails. Running it again at another target
+// helps in one case of ten or twenty, but repeats all its calls: repeats of
+// requests multiply into repeats of calls, which are bounded, and none are left
+// for the calls themselves, where every second repeat would help. So a failed
+// request is not repeated while its target's calls fail often.
 //
 // Pure logic; the owner keeps one for the target beside it.
 class downstream_failure_rate {
  public:
-  // From this part on requests are not repeated. With four calls each, about a
+  // Above this rate requests are not repeated. With four calls each, about a
   // third of the requests then fail, and as many of their repeats would. Lost
-  // answers and broken targets alone stay below it, and their requests are well
-  // worth a repeat elsewhere.
+  // answers and broken targets alone stay below it, and repeating their
+  // requests elsewhere pays off.
   static constexpr double kMaxRate = 0.1;
 
-  // A call that the target made has ended, with all its own repeats.
+  // A call that the target made has ended, including its own repeats.
   void Add(bool failed, time_point now) {
     rate_ = Rate(now);
     updated_at_ = now;
@@ -37,9 +36,9 @@
   }
 
  private:
-  // Of the newest call; a target makes hundreds a second when it is busy.
+  // Weight of the newest call; a busy target makes hundreds a second.
   static constexpr double kWeight = 1.0 / 24;
-  // Without news, half of what is known is forgotten in this time.
+  // Without new samples the rate halves in this time.
   static constexpr double kHalfLifeSeconds = 1;
 
   [[nodiscard]] double Rate(time_point now) const {
@@ -47,7 +46,7 @@
     return rate_ * std::exp2(-age / kHalfLifeSeconds);
   }
 
-  double rate_ = 0;  // From 0 to 1, when `updated_at_`.
+  double rate_ = 0;  // From 0 to 1, as of `updated_at_`.
   time_point updated_at_;
 };
 
--- a/include/retry/repeat_budget.h
+++ b/include/retry/repeat_budget.h
@@ -1,5 +1,5 @@
-// repeat_budget: bounds how many more times than once a daemon sends requests
-// to the targets of one service, in any span of time.
+// repeat_budget: bounds the repeats (sends of a request after the first) of one
+// daemon to the targets of one service in any time window.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +11,30 @@
 namespace pistachioweir {
 
 struct repeat_budget_options {
-  // Any span of this length is bounded.
+  // Any time window of this length is bounded.
   milliseconds window{10000};
-  // Repeats that each request of the window allows.
+  // Repeats allowed per request in the window.
   double ratio = 0.05;
-  // Repeats that the window allows whatever the requests. One daemon's part of
-  // what all share may be less than one.
+  // Repeats allowed per window regardless of requests. One daemon's share of
+  // the common reserve may be less than one.
   double reserve = 1;
 };
 
-// Made for a service that fails for everybody at once: each request then wants
-// another target, and the load on the service grows just when it can't bear it.
-// A bucket of tokens bounds the average only: what it saved up in a quiet time
-// comes on top of what the next span earns. Here both are counted over the last
-// window, so no span sees more.
+// For a service that fails for all callers at once: each request is then
+// repeated, and the load on the service grows when it can least handle it. A
+// token bucket bounds only the average: tokens saved in a quiet period add to
+// those of the next one. Here both requests and repeats are counted over a
+// sliding window, so no window exceeds the bound.
 //
-// Pure logic; the owner keeps one for each service that it calls.
+// Pure logic; the owner keeps one per called service.
 class repeat_budget {
  public:
   explicit repeat_budget(const repeat_budget_options& options)
       : options_(options) {}
 
   void OnRequest(time_point now);
-  // Counts a repeat. False if there is no room for it: it must not be sent.
+  // Counts a repeat. Returns false if the budget is used up: it must not be
+  // sent.
   [[nodiscard]] bool TrySpend(time_point now);
 
   void Configure(const repeat_budget_options& options) { options_ = options; }
@@ -41,7 +42,7 @@
 
  private:
   // Requests are counted in slots of a tenth of the window, since only their
-  // sum matters; repeats are few and kept one by one.
+  // sum matters; repeats are few and stored one by one.
   static constexpr int kSlots = 10;
 
   struct slot {
--- a/include/retry/reserve_share.h
+++ b/include/retry/reserve_share.h
@@ -1,5 +1,4 @@
-// reserve_share: which part of a reserve that all daemons share one daemon may
-// use.
+// reserve_share: one daemon's share of a reserve that all daemons share.
 #pragma once
 
 #include <cstddef>
@@ -9,43 +8,43 @@
 
 namespace pistachioweir {
 
-// Nobody hands out the reserve: each daemon takes its part of it by the number
-// of daemons that it sees. Entries come one by one at a start and after an
-// outage of the store, and a daemon that took its part by the first list would
-// keep half of the reserve for itself. A list that has become shorter may come
-// back as well, so the longest one of a window counts: what was spent by the
-// longer list is still in the window.
+// The reserve isn't assigned centrally: each daemon derives its share from the
+// number of daemons that it sees. Entries appear one by one at startup and
+// after an outage of the store, and a daemon that used the first list would
+// take half of the reserve for itself. A shortened list may also grow back, so
+// the longest list of a window counts: what was spent under it is still in the
+// window.
 //
 // Pure logic; the owner keeps one for all its services.
 class reserve_share {
  public:
-  // Of the reserve, what all daemons use together. A daemon that starts again
-  // has forgotten what it spent, and may spend its part once more.
+  // Fraction of the reserve that all daemons use together. A restarted daemon
+  // doesn't know what it spent before, and may spend its share once more.
   static constexpr double kUsableFraction = 0.5;
-  // After its first list a daemon waits this long for more entries. They are
-  // back within two seconds of the store's return, and nothing shows at a start
-  // whether there was an outage just before.
+  // Time that a daemon waits for more entries after its first list. They are
+  // back within two seconds of the store's recovery, and a starting daemon
+  // can't tell whether there was an outage just before.
   static constexpr milliseconds kInitialSettleTime{2000};
 
-  // `window` is that of the budget that the reserve belongs to.
+  // `window` is the window of the budget that the reserve belongs to.
   explicit reserve_share(milliseconds window) : window_(window) {}
 
-  // A list of targets shows so many daemons, this one included.
+  // A list of targets contains `count` daemons, including this one.
   void OnDaemonCount(std::size_t count, time_point now);
 
-  // From 0 to kUsableFraction.
+  // This daemon's fraction of the reserve, from 0 to kUsableFraction.
   [[nodiscard]] double Fraction(time_point now);
 
  private:
   struct list_length {
     std::size_t daemons = 0;
-    time_point until;  // When a shorter list took its place; max for the last.
+    time_point until;  // When a shorter list replaced it; max for the last.
   };
 
   void DropExpired(time_point now);
 
   const milliseconds window_;
-  // Each is shorter than the one before, and ended later.
+  // Each is shorter than its predecessor and ended later.
   std::deque<list_length> longest_;
   time_point first_;
 };
--- a/include/retry/retry_ratio.h
+++ b/include/retry/retry_ratio.h
@@ -1,10 +1,10 @@
-// retry_ratio: bounds a daemon's retries towards one service to a share of its
-// first tries.
+// retry_ratio: bounds a daemon's retries towards one service to a fraction of
+// its first attempts.
 //
-// Made for a service that fails for everyone at once: every call then wants its
-// retries, and the load on the failing service grows just when it can't bear
-// it. The share keeps that growth to a tenth, whatever each single call may
-// still spend. The owner keeps one per called service under its own lock.
+// For a service that fails for all callers at once: every call is then retried,
+// and the load on the failing service grows when it can least handle it. The
+// ratio limits that growth to a tenth, whatever credit each single call has
+// left. The owner keeps one per called service under its own lock.
 #pragma once
 
 #include <algorithm>
@@ -13,10 +13,10 @@
 namespace pistachioweir {
 
 struct retry_ratio_options {
-  // Tokens that a first try earns; a retry costs one.
+  // Tokens that a first attempt earns; a retry costs one.
   double ratio = 0.1;
-  // Most tokens that can be saved up: a burst of retries after a quiet time,
-  // as when one target dies with its calls in progress.
+  // Maximum number of saved tokens: a burst of retries after a quiet period, as
+  // when one target fails with its calls in progress.
   double max_tokens = 20;
 };
 
@@ -29,7 +29,7 @@
     tokens_ = std::min(options_.max_tokens, tokens_ + options_.ratio);
   }
 
-  // Takes a token. False if there is none: the retry must not be made.
+  // Takes a token. Returns false if there is none: the retry must not be made.
   bool TrySpend() {
     if (tokens_ < 1) {
       return false;
--- a/include/retry/send_feasibility.h
+++ b/include/retry/send_feasibility.h
@@ -1,4 +1,4 @@
-// send_feasibility: whether a request has too little time left to be sent.
+// send_feasibility: whether a request has enough time left to be sent.
 #pragma once
 
 #include <array>
@@ -10,18 +10,18 @@
 
 namespace pistachioweir {
 
-// A request that is sent again with a few milliseconds left can't end, and
-// takes from the bound on repeats what others could have been repeated with. So
-// it isn't sent with less left than half of the shortest run of its kind that
-// ended well lately; half, since a request that could have ended must not be
+// A request that is sent again with a few milliseconds left can't complete in
+// time, and uses up the repeat budget that other requests need. So a request
+// isn't sent with less time left than half of the shortest recent successful
+// run of its kind; half, since a request that could have completed must not be
 // refused.
 //
-// Pure logic; the origin keeps one for each called service.
+// Pure logic; the origin keeps one per called service.
 class send_feasibility {
  public:
   static constexpr int kShortestRunDivisor = 2;
 
-  // A run of the kind ended well after so long at its target.
+  // A run of the kind succeeded after `served` at its target.
   void OnCompleted(std::uint32_t kind, duration served, time_point now) {
     shortest_[kind].Add(served, now);
   }
--- a/include/retry/target_wait.h
+++ b/include/retry/target_wait.h
@@ -1,5 +1,5 @@
-// target_wait: how long a request waits for a target of its service to be found
-// before it is refused.
+// target_wait: how long a request waits for an available target before it is
+// refused.
 #pragma once
 
 #include <algorithm>
@@ -10,37 +10,39 @@
 
 namespace pistachioweir {
 
-// A connection to another daemon breaks, and while it is made anew the only
-// other target is one whose daemon stops. All of that is over within some tens
-// of milliseconds, but a request that comes in between finds nobody. Refused at
-// once, its caller spends one of its few retries and a round trip on a gap that
-// is shorter than that. So the request looks again for a moment.
+// When a connection to another daemon breaks, the only other target may be one
+// whose daemon is stopping until the connection is re-established. Such a gap
+// lasts some tens of milliseconds, but a request that arrives in it finds no
+// target. If refused at once, its caller would spend one of its few retries and
+// a round trip on a gap that is shorter than that. So the target look-up is
+// repeated for a short time.
 //
-// The load this is made for is the ordinary one with a fault in it. Where a
-// service is gone for good, or has no room, waiting helps nobody: requests
-// would pile up here, and each would be refused later than need be. So the wait
-// is a small part of the time within which the caller wants its answer, and a
-// refusal for want of room ends it.
+// This applies to normal load with a single fault. Where a service is
+// permanently unavailable or has no capacity, waiting is useless: requests
+// would accumulate here and be refused later than necessary. So the wait is a
+// small part of the latency objective, and a refusal for lack of capacity ends
+// it.
 inline constexpr milliseconds kLookupRetryInterval{50};
-// Of the latency objective. The rest is needed to be served, or to come back.
+// The maximum wait is the latency objective divided by this. The rest is needed
+// to be served, or for the caller's retry.
 inline constexpr int kMaxWaitDivisor = 8;
 
-// Whether a send or a search that ended so has found nobody, as opposed to
-// somebody who has no room.
+// Whether a send or a look-up failed because no target was available, as
+// opposed to a target without capacity.
 [[nodiscard]] constexpr bool IsTargetUnavailable(reason why) {
   return why == reason::kNoTarget || why == reason::kNotReady ||
          why == reason::kDraining || why == reason::kWrongTarget;
 }
 
 struct target_search {
-  time_point received;         // The request.
-  time_point deadline;         // Its.
-  milliseconds objective;      // Within which its answer is worth most.
-  reason why = reason::kNone;  // Of the last send or search.
+  time_point received;         // Arrival of the request.
+  time_point deadline;         // Of the request.
+  milliseconds objective;      // Latency objective.
+  reason why = reason::kNone;  // Of the last send or look-up.
 };
 
-// How long to wait before looking again; nothing if the request is to be
-// refused now. For requests only of which nothing has reached a target.
+// Delay until the next look-up, or nothing if the request must be refused now.
+// Only for requests that have not reached any target.
 [[nodiscard]] constexpr std::optional<milliseconds> NextLookupDelay(
     const target_search& search,
     time_point now) {
--- a/include/route/balancer.h
+++ b/include/route/balancer.h
@@ -1,10 +1,10 @@
-// balancer: chooses for one called service the target that a call is sent to,
-// or refuses the call at the entrance.
+// balancer: selects the target of each call to one service, or refuses the call
+// before it is sent.
 //
-// Pure logic: no I/O, no threads, time and random bits are arguments. The
+// Pure logic: no I/O and no threads; time and random bits are arguments. The
 // owner, a daemon that makes calls, keeps one per called service under its own
-// lock. It decides by what it has seen itself, its own calls in flight and the
-// load that rode on answers; health and load endpoints lag or mislead.
+// lock. Decisions use its own observations, its calls in flight and the load
+// piggybacked on answers; health and load endpoints lag or mislead.
 #pragma once
 
 #include <array>
@@ -24,12 +24,12 @@
 
 namespace pistachioweir {
 
-// How a target is chosen among those that may take the call.
+// How a target is selected among the eligible ones.
 enum class placement_policy : std::uint8_t {
   kRandom,
   kPowerOfTwo,
-  // All targets are compared by when and how surely the call is expected to end
-  // there; for callers that have many kinds of calls to few targets.
+  // Compares all targets by the expected completion time and failure rate of
+  // the call; for callers with many kinds of calls to few targets.
   kExpectedEnd,
 };
 
@@ -38,32 +38,34 @@
   placement_policy policy = placement_policy::kPowerOfTwo;
   bool use_levels = true;    // Refuse at the entrance.
   bool use_ejection = true;  // Eject targets that fail, slow start.
-  // Methods of the called service, so that nothing is allocated later; more
-  // can follow.
+  // Methods of the called service, to allocate their state up front; more can
+  // follow.
   std::uint32_t methods = 1;
-  // Tries of one call, the first included, over different targets. Those that
-  // found nobody don't count: after a loss of machines four in a row may be
-  // gone, while others are well.
+  // Attempts of one call, the first included, over different targets. Attempts
+  // at unavailable targets don't count: after a loss of machines four in a row
+  // may be down while others are healthy.
   std::uint32_t max_tries = 3;
 };
 
-// One target as membership tells it.
+// One target as reported by membership.
 struct target_info {
   vm_id vm;
   std::string data_centre;
-  // Its daemon's present start, if known. Another one makes it a new target:
-  // what was known of the earlier start, also that it was leaving, is over.
+  // Its daemon's current incarnation, if known. A different one makes it a new
+  // target: everything known of the earlier one, including that it was leaving,
+  // is discarded.
   incarnation_id incarnation{};
   bool leaving = false;
-  // Has just started: gets its share step by step.
+  // Has just started: gets its share gradually.
   bool cold = false;
-  // How much longer it is slow after its start, if that is known.
+  // Remaining warm-up time after its start, if known.
   milliseconds warm_up_left{0};
-  // Requests that it runs at a time, if that is known; its load tells later.
+  // Concurrency limit, if known; replaced by its load reports.
   std::uint32_t slots = 1;
 };
 
-// Names a target until it is dropped from the list; a stale one is harmless.
+// Identifies a target until it is removed from the list; a stale reference is
+// harmless.
 struct target_ref {
   std::uint32_t index = 0;
   std::uint32_t generation = 0;
@@ -71,13 +73,13 @@
   friend bool operator==(const target_ref&, const target_ref&) = default;
 };
 
-// Where one call has been tried already.
+// The targets at which one call has been attempted.
 struct tried_targets {
   static constexpr std::uint32_t kMax = 8;
 
   std::array<target_ref, kMax> refs{};
   std::uint32_t count = 0;        // At most kMax.
-  std::uint32_t unavailable = 0;  // Of those, where nobody was.
+  std::uint32_t unavailable = 0;  // Of those, unavailable ones.
 };
 
 struct placement_request {
@@ -87,15 +89,14 @@
   // Made by a target while it serves another call: see IsRefusedBy().
   bool is_nested = false;
   tried_targets tried;
-  // Within which the call should end; weighs what time is worth against other
-  // ends.
+  // Latency objective of the call; weighs completion time against other costs.
   milliseconds objective{1000};
-  // Must not be sent again once it has failed.
+  // Must not be sent again after a failure.
   bool at_most_once = false;
 };
 
-// Either a target, or why there is none: kNoTarget or kOverload, with a time
-// to come back. Nothing ran.
+// Either a target, or the reason why there is none (kNoTarget or kOverload) and
+// a retry delay; nothing ran.
 struct placement {
   bool placed = false;
   target_ref target;
@@ -105,29 +106,29 @@
 
 // How a call to a target ended, from the caller's side.
 enum class call_result : std::uint8_t {
-  kAnswered,  // Completed, whatever the target's status says.
-  kErrored,   // Completed; the target says that it failed.
-  kRefused,   // Definitely not executed; the daemon there is well.
+  kAnswered,  // Completed, with any status of the target.
+  kErrored,   // Completed; the target reports a failure.
+  kRefused,   // Definitely not executed; the daemon is healthy.
   kFailed,    // Connection refused or lost, target crashed.
   kTimedOut,  // No answer by the deadline.
-  kCancelled  // By this side; says nothing about the target.
+  kCancelled  // By the caller; says nothing about the target.
 };
 
 class balancer {
  public:
   explicit balancer(const balancer_options& options);
 
-  // The list of targets has changed. Targets that stay keep what is known of
-  // them; those that are gone or leaving get no new calls.
+  // Updates the list of targets. Targets that remain keep their state; removed
+  // or leaving ones get no new calls.
   void SetTargets(const std::vector<target_info>& targets, time_point now);
 
-  // Chooses a target and counts the call as in flight there, until Finish().
-  // The random bits decide ties, candidates and probes.
+  // Selects a target and counts the call as in flight there until Finish(). The
+  // random bits decide ties, candidates and probes.
   placement Place(const placement_request& request,
                   time_point now,
                   std::uint64_t random);
 
-  // The call that Place() counted has ended. `report` is what rode on the
+  // The call counted by Place() has ended. `report` is the load report of the
   // answer, or nullptr.
   void Finish(target_ref target,
               std::uint32_t method,
@@ -136,35 +137,36 @@
               const load_report* report,
               time_point now);
 
-  // The target said itself that it is leaving: no new calls from now on.
+  // The target has announced that it is leaving: it gets no new calls.
   void MarkLeaving(target_ref target);
 
-  // No connection to the target's daemon can be had; or one can again.
+  // Whether the target's daemon can be connected to.
   void SetReachable(target_ref target, bool reachable);
   // The target's daemon is stopping, or a new one serves in its place. Unlike
-  // leaving, this ends. The target still gets calls that no other can take:
-  // the daemons of all targets of a service may be stopping at once.
+  // leaving, this state is temporary. The target still gets calls that no other
+  // can take: the daemons of all targets of a service may be stopping at once.
   void SetStopping(target_ref target, bool stopping);
-  // The target's load was heard of apart from an answer.
+  // The target's load was received apart from an answer.
   void UpdateLoad(target_ref target, const load_report& report, time_point now);
 
-  // Mean pressure that the usable targets told of, from 0 on; what was told
-  // longer ago than kPressureLifetime counts as none.
+  // Mean pressure reported by the usable targets, from 0 up; reports older than
+  // kPressureLifetime count as 0.
   [[nodiscard]] double Pressure(time_point now) const;
   static constexpr milliseconds kPressureLifetime{500};
 
-  // The present reference of a target, or nothing if it isn't listed.
+  // The current reference of a target, or nothing if it isn't listed.
   [[nodiscard]] std::optional<target_ref> RefOf(std::string_view vm) const;
 
-  // Whether a call that was refused may be tried on another target.
+  // Whether a refused call may be attempted at another target.
   [[nodiscard]] bool MayTryElsewhere(const placement_request& request,
                                      time_point now) const;
-  // Calls of `method` below this are refused here, wherever they would go.
+  // Calls of `method` below this level are refused before sending, whatever the
+  // target.
   [[nodiscard]] admission_rank EntranceLevel(std::uint32_t method,
                                              time_point now) const;
-  // Empty for a target that is not in the list any more.
+  // Empty for a target that is no longer listed.
   [[nodiscard]] std::string_view VmOf(target_ref target) const;
-  // Targets that may get new calls.
+  // Number of targets that may get new calls.
   [[nodiscard]] std::uint32_t usable(time_point now) const;
 
  private:
@@ -180,15 +182,15 @@
     std::uint32_t generation = 0;
     bool listed = false;
     bool leaving = false;
-    bool stopping = false;     // Its daemon says so.
+    bool stopping = false;     // Announced by its daemon.
     bool unreachable = false;  // Its daemon can't be connected to.
     bool local = false;        // In the caller's own data centre.
     std::uint32_t in_flight = 0;
-    // In flight and queued there for other callers, when last heard.
+    // In flight and queued there for other callers, by its last load report.
     double other_load = 0;
     double limit = 1;                // Until its load is known.
     double latency = 0;              // Nanoseconds; recent average.
-    time_point latency_measured_at;  // When `latency` was last measured.
+    time_point latency_measured_at;  // Last sample.
     time_point warm_from;
     std::uint32_t failures = 0;  // In a row.
     std::uint32_t ejections = 0;
@@ -199,7 +201,7 @@
     time_point pressure_received_at;
   };
 
-  // Targets whose daemons serve come first, those with stopping ones second.
+  // Targets with serving daemons are preferred to those with stopping ones.
   enum class target_tier : std::uint8_t { kServing, kStopping };
 
   struct candidate {
@@ -238,7 +240,8 @@
       target_tier tier,
       time_point now,
       std::uint64_t random) const;
-  // A target that refuses calls like this one, to be asked nevertheless.
+  // Selects a target that refuses calls like this one, to check whether it
+  // still does. Sets `*any` if any target is reachable and untried.
   [[nodiscard]] std::uint32_t ChooseProbe(const placement_request& request,
                                           time_point now,
                                           bool* any);
@@ -254,10 +257,10 @@
   [[nodiscard]] const target* Find(target_ref ref) const;
 
   balancer_options options_;
-  target_estimates estimates_;   // By place in `targets_`.
-  std::vector<target> targets_;  // Places are reused, never erased.
+  target_estimates estimates_;   // By index in `targets_`.
+  std::vector<target> targets_;  // Entries are reused, never erased.
   std::uint32_t listed_ = 0;
-  // Places in `targets_` that are listed; all, and by data centre.
+  // Indices in `targets_` of listed targets; all, and by data centre.
   std::vector<std::uint32_t> all_;
   std::vector<std::uint32_t> local_;
   std::vector<std::uint32_t> remote_;
--- a/include/route/caller_mix.h
+++ b/include/route/caller_mix.h
@@ -1,4 +1,4 @@
-// caller_mix: tells from where calls come whether they are made by targets.
+// caller_mix: infers from the origin of calls whether targets make them.
 #pragma once
 
 #include <cstdint>
@@ -8,25 +8,26 @@
 
 namespace pistachioweir {
 
-// Calls that targets make while they serve look like those of callers outside:
-// both come over the daemon of their VM, and nothing in them tells. But callers
-// outside sit on all VMs, whatever runs there, while a target's calls come only
+// Nested calls made by targets look like those of outside callers: both arrive
+// through the daemon of their VM, and their contents don't differ. But outside
+// callers use all VMs, whatever runs there, while a target's calls come only
 // from VMs of the service that makes them. So calls of one kind that nearly all
-// come from one service are made by its targets.
+// come from one service are attributed to its targets.
 //
-// Where a deployment has a single service, everything looks so; nothing is then
-// treated as work of callers, which errs on the side of serving it.
+// In a deployment with a single service, all calls look nested and none are
+// treated as outside calls, which errs on the side of serving them.
 //
-// Pure logic; the owner keeps one for each kind of work.
+// Pure logic; the owner keeps one for each kind of calls.
 class caller_mix {
  public:
-  // Calls needed before anything is concluded.
+  // Minimum number of calls before anything is concluded.
   static constexpr std::uint32_t kMinCalls = 20;
-  // Calls after which older ones count half, so that a route that is given to
-  // other callers is noticed.
+  // Number of calls after which all counts are halved, so that the estimate
+  // adapts when a route is opened to other callers.
   static constexpr std::uint32_t kMaxCalls = 1000;
-  // Share of the most frequent service from which on its targets make the
-  // calls. With three services or more, callers outside give each a third.
+  // Minimum share of the most frequent service for its targets to be considered
+  // the callers. With three services or more, outside callers give each a
+  // third.
   static constexpr double kMinShare = 0.8;
 
   void Add(std::string_view service);
--- a/include/route/kind_index.h
+++ b/include/route/kind_index.h
@@ -1,5 +1,5 @@
-// kind_index: small numbers for the kinds of work that one service does, so
-// that what is learnt of each can stand in an array.
+// kind_index: small indices for the kinds of requests of one service, so that
+// per-kind estimates fit in an array.
 #pragma once
 
 #include <cstdint>
@@ -9,9 +9,9 @@
 
 namespace pistachioweir {
 
-// Operators rename and add routes while daemons run, so that the number of
-// names has no bound. Kinds beyond kMaxKinds share number 0, whose estimates
-// are then a mixture.
+// Operators rename and add routes while daemons run, so the number of names is
+// unbounded. Kinds beyond kMaxKinds share index 0, whose estimates are then a
+// mixture.
 class kind_index {
  public:
   static constexpr std::uint32_t kMaxKinds = 64;
@@ -29,7 +29,7 @@
     return index;
   }
 
-  // Numbers that may have been given out are below this.
+  // Upper bound (exclusive) of the indices in use.
   [[nodiscard]] std::uint32_t size() const {
     return static_cast<std::uint32_t>(indices_.size()) + 1;
   }
--- a/include/route/route_table.h
+++ b/include/route/route_table.h
@@ -1,7 +1,7 @@
-// route_table: which service a request goes to, by its host and path, and what
-// its operator says of requests of that kind.
+// route_table: maps a request to its service by host and path, with the
+// operator's policy for requests of that kind.
 //
-// A value; built once for each configuration and shared by whoever reads it.
+// An immutable value, built once per configuration and shared by its readers.
 #pragma once
 
 #include <cstddef>
@@ -23,7 +23,7 @@
 inline constexpr enum_table<repeat_policy, 2> kRepeatPolicyNames(
     {"idempotent", "at_most_once"});
 
-// One of the services that a route's requests are divided among.
+// One of the services among which a route's requests are split.
 struct route_part {
   std::string service;
   std::uint32_t weight = 1;  // Relative to the other parts' weights.
@@ -36,13 +36,13 @@
   std::string host;    // Lower case, without a port.
   std::string prefix;  // Begins and ends with a slash.
   repeat_policy repeats = repeat_policy::kAtMostOnce;
-  // Longest time that a request may take; zero if only its caller bounds it.
+  // Maximum duration of a request; zero if only its caller bounds it.
   milliseconds timeout{0};
-  // Time within which an answer is worth most to its caller.
+  // Latency within which an answer is most valuable to its caller.
   milliseconds latency_objective{0};
-  // Most targets that one request may be sent to.
+  // Maximum number of targets that one request may be sent to.
   std::uint32_t max_targets = 1;
-  std::uint32_t rank = 0;         // 0 matters most.
+  std::uint32_t rank = 0;         // 0 is most important.
   bool is_public = false;         // Its requests need no API key.
   std::vector<route_part> parts;  // At least one.
 };
@@ -51,16 +51,16 @@
  public:
   route_table() = default;
 
-  // Nothing if two routes have the same host and prefix, a prefix doesn't begin
-  // and end with a slash, or a route has no part with a weight; `problem` then
-  // tells which.
+  // Returns nothing if two routes have the same host and prefix, a prefix
+  // doesn't begin and end with a slash, or a route has no part with a weight;
+  // `problem` then says which.
   [[nodiscard]] static std::optional<route_table> Make(
       std::vector<route> routes,
       std::string* problem);
 
-  // The route of `host` with the longest prefix that begins `path`, or nullptr.
-  // A port in `host` and the case of its letters make no difference; a query
-  // behind the path is not looked at. Valid as long as the table.
+  // Returns the route of `host` with the longest matching prefix of `path`, or
+  // nullptr. A port in `host` and letter case are ignored, as is the query
+  // after the path. Valid as long as the table.
   [[nodiscard]] const route* Find(std::string_view host,
                                   std::string_view path) const;
 
@@ -69,9 +69,9 @@
 
  private:
   std::vector<route> routes_;
-  // Index in `routes_` by host, a line end and prefix. One look-up for each
-  // slash of a path: the time doesn't grow with the number of routes, of which
-  // some configurations have thousands.
+  // Index in `routes_` by host, newline and prefix. Each slash of a path takes
+  // one look-up: the time doesn't grow with the number of routes, of which some
+  // configurations have thousands.
   std::unordered_map<std::string, std::size_t> index_;
 };
 
--- a/include/route/target_estimates.h
+++ b/include/route/target_estimates.h
@@ -1,5 +1,5 @@
-// target_estimates: what a caller's daemon has learnt of the targets of one
-// service from their answers: how fast each is, and how often it fails.
+// target_estimates: a caller daemon's estimates of the speed and failure rate
+// of each target of one service, learnt from answers.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,13 @@
 
 namespace pistachioweir {
 
-// The kinds of work of a service take very different times, and each target
-// gets another mixture of them. So a time is learnt for each kind over all
-// targets, and for each target by what factor its answers differ from those: a
-// target that got the long kind once would else look slow for seconds.
+// Run times differ widely between the kinds of requests of a service, and each
+// target gets a different mixture. So there is one time per kind over all
+// targets, and for each target a factor by which its times differ from those.
+// Without it, a target that once got the slowest kind would look slow for
+// seconds.
 //
-// Pure logic; targets are named by small numbers that the owner reuses.
+// Pure logic; targets are identified by small indices that the owner reuses.
 class target_estimates {
  public:
   // How a run at a target ended.
@@ -22,7 +23,7 @@
 
   explicit target_estimates(std::uint32_t kinds) : kinds_(kinds) {}
 
-  // Nothing is known of this target, which has just joined.
+  // Clears the state of a target that has just joined.
   void Reset(std::uint32_t target);
   void Add(std::uint32_t target,
            std::uint32_t kind,
@@ -30,19 +31,19 @@
            duration served,
            time_point now);
 
-  // What a run of `kind` takes at the target when nothing waits. A guess where
+  // Expected run time of `kind` at the target without queueing. A default where
   // nothing was measured.
   [[nodiscard]] duration RunTime(std::uint32_t target,
                                  std::uint32_t kind) const;
-  // What a run of the target's usual mixture takes.
+  // Mean run time of the target's usual mixture.
   [[nodiscard]] duration MeanRunTime(std::uint32_t target) const;
-  // Part of the target's runs that fail, from 0 to 1. Fades while nothing new
-  // is updated_at, so that a target that was avoided is tried again.
+  // Failure rate of the target, from 0 to 1. Decays without new samples, so
+  // that an avoided target is tried again.
   [[nodiscard]] double FailureRate(std::uint32_t target, time_point now) const;
 
  private:
   struct target_state {
-    double time_factor = 1;  // Of its times, against those of all targets.
+    double time_factor = 1;  // Of its times relative to all targets.
     double mean_time = 0;    // Nanoseconds; zero if not measured.
     double failure_rate = 0;
     time_point updated_at;
--- a/include/route/weighted_split.h
+++ b/include/route/weighted_split.h
@@ -1,4 +1,4 @@
-// weighted_split: divides a route's requests among its parts by their weights.
+// weighted_split: splits a route's requests among its parts by weight.
 #pragma once
 
 #include <cstdint>
@@ -9,21 +9,22 @@
 
 namespace pistachioweir {
 
-// Made for splits whose shares people check: by a random choice, 200 requests
-// at nine to one give the small part between 12 and 28 of its 20. Each part
-// earns its weight with every request and the richest one is taken, so that
-// every span of requests has each part's share to within one request.
+// Smooth weighted round robin, for splits whose shares people check: with a
+// random choice, 200 requests at nine to one give the small part between 12 and
+// 28 instead of 20. Each part gains its weight as credit with every request and
+// the one with the most credit is selected, so that in every sequence of
+// requests each part's share is exact to within one request.
 //
-// Pure logic. The owner keeps one for each route and asks it once a request, so
-// that another try of the request stays with the part that was chosen.
+// Pure logic. The owner keeps one per route and calls it once per request, so
+// that retries of the request stay with the selected part.
 class weighted_split {
  public:
-  // `random` sets where in its cycle a new split begins. Daemons that all began
-  // at the same place would send their first requests to the same part.
+  // `random` sets the initial position in the cycle. Daemons that all started
+  // at the same position would send their first requests to the same part.
   explicit weighted_split(std::uint64_t random) : random_(random) {}
 
-  // The service of the next request. `parts` has at least one weight; credit is
-  // kept over calls as long as the parts are the same.
+  // Returns the service of the next request. `parts` has at least one weight;
+  // credit is kept across calls as long as the parts are the same.
   [[nodiscard]] std::string_view Next(const std::vector<route_part>& parts);
 
  private:
--- a/src/admit/adaptive_throttle.cc
+++ b/src/admit/adaptive_throttle.cc
@@ -1,4 +1,4 @@
-// The admitted share, by what ends well.
+// Adjustment of the admitted share by results and pressure.
 #include "include/admit/adaptive_throttle.h"
 
 #include <algorithm>
--- a/src/admit/admission_controller.cc
+++ b/src/admit/admission_controller.cc
@@ -1,4 +1,4 @@
-// Admission of one target: the queue, its order and its refusals.
+// Admission of one target: queueing, ordering and refusals.
 #include "include/admit/admission_controller.h"
 
 #include <algorithm>
@@ -8,16 +8,16 @@
 
 namespace {
 
-// Queued requests are checked for deadlines that can't be met any more this
-// often, so that each gets its answer at once and not when its turn comes.
+// Interval at which queued requests are checked for deadlines that can't be met
+// any more, so that each is refused at once and not when its turn comes.
 constexpr milliseconds kSweepPeriod{5};
-// How long a level heard from further down holds without being repeated.
+// How long a downstream level applies without being renewed.
 constexpr milliseconds kDownstreamLevelLifetime{200};
-// Retry-after: no shorter than a refusal takes to have an effect, no longer
-// than people wait for a service that has long recovered.
+// Bounds of retry_after: no shorter than a refusal takes to have an effect, no
+// longer than callers should wait for a service that has long recovered.
 constexpr milliseconds kMinRetryAfter{20};
 constexpr milliseconds kMaxRetryAfter{5000};
-// Ranks by which a level falls a second once slots are free; see
+// Ranks per second by which a level decreases once slots are free; see
 // admission_level.
 constexpr std::int64_t kRanksPerSecond = 1000;
 
@@ -25,7 +25,7 @@
 
 admission_controller::admission_controller(const admission_options& options)
     : options_(options),
-      // Room for what runs, what waits and what was given up by one Offer().
+      // Capacity for running, queued and evicted requests of one Offer().
       items_(options.slots + 2 * static_cast<std::size_t>(options.max_queue) +
              2),
       service_times_(std::max(1U, options.methods)),
@@ -55,7 +55,7 @@
   return std::max(level_.level(), now < below.until ? below.level : 0);
 }
 
-// Work of the same or more importance goes first; the rest gives way.
+// Work of the same or higher priority goes first; lower priorities yield.
 duration admission_controller::QueueDelay(std::size_t queue) const {
   duration work(0);
   for (std::size_t i = 0; i <= queue; ++i) {
@@ -65,7 +65,7 @@
   if (options_.assured_share <= 0) {
     return wait;
   }
-  // At worst it gets its assured part of the slots.
+  // At worst it gets its assured share of the slots.
   const double own = static_cast<double>(queues_[queue].work.count()) /
                      (options_.assured_share * limit());
   return std::min(wait, duration(static_cast<duration::rep>(own)));
@@ -183,8 +183,8 @@
     overall_service_time_.Add(own, now);
     known.Add(elapsed, now);
   }
-  // Runs that were cut short took at least as long. Without them the estimate
-  // is that of the lucky ones, and work is begun that can't end in time.
+  // Aborted runs would have taken at least as long. Without them the estimate
+  // covers only the fast runs, and work is started that can't end in time.
   if (!report.answered && elapsed > known.UpperEstimate(now)) {
     known.Add(elapsed, now);
   }
@@ -255,9 +255,9 @@
           .limit = limit()};
 }
 
-// A refused caller should come back when there is room: after the work that
-// waits, and after the level has fallen to its rank. Spread by up to a half, or
-// all that were refused together come back together.
+// A refused caller should retry when there is capacity: after the queued work,
+// and after the level has fallen to its rank. Random jitter of up to a half
+// keeps callers that were refused together from retrying together.
 milliseconds admission_controller::RetryAfter(admission_rank rank,
                                               admission_rank level,
                                               std::uint32_t random) const {
@@ -279,7 +279,7 @@
   ++counters_.refused[static_cast<std::size_t>(request.level)];
   if (why == reason::kDeadlineInfeasible || why == reason::kQueueFull) {
     level_.OnLoadRefusal(now);
-    // From here on everything less important is refused first.
+    // From now on every less important request is refused first.
     if (options_.use_level && request.level == priority::kCritical) {
       level_.RaiseTo(LowestRank(request.level));
     }
@@ -291,7 +291,7 @@
       .retry_after = RetryAfter(rank, LevelFor(request.method, now), random)};
 }
 
-// The newest of the least important goes: it has waited least.
+// Evicts the newest request of the lowest priority: it has waited least.
 bool admission_controller::EvictForSpace(std::size_t queue) {
   for (std::size_t lowest = kPriorityCount; lowest-- > queue + 1;) {
     if (queues_[lowest].last != kNone) {
@@ -302,8 +302,8 @@
   return false;
 }
 
-// A request is refused for want of capacity only after all less important
-// ones that wait have been.
+// A request is refused for lack of capacity only after all queued ones of lower
+// priority have been.
 void admission_controller::EvictLowerThan(std::size_t queue) {
   for (std::size_t lowest = kPriorityCount; lowest-- > queue + 1;) {
     while (queues_[lowest].first != kNone) {
@@ -339,8 +339,9 @@
   }
 }
 
-// Started work of one class lets the less important ones that wait earn their
-// part. What is started of a class is taken off what it had earned.
+// Work started at one priority accrues an assured share for the lower
+// priorities that are queued. Work started at a priority is deducted from what
+// it had accrued.
 void admission_controller::AccrueAssuredShare(std::size_t queue,
                                               duration work) {
   if (options_.assured_share <= 0) {
--- a/src/admit/admission_level.cc
+++ b/src/admit/admission_level.cc
@@ -1,4 +1,4 @@
-// The admission level's control loop, judged once a window.
+// The control loop of the admission level, evaluated once per window.
 #include "include/admit/admission_level.h"
 
 #include <algorithm>
@@ -8,32 +8,35 @@
 
 namespace {
 
-// Least waiting of a window above which a queue stands, and below which it has
-// gone. A tenth of a short deadline: a queue that short keeps slots busy
-// through the scatter of arrivals, and a longer one only adds to every latency.
+// Minimum delay of a window above which there is a standing queue, and below
+// which it has cleared. A tenth of a short deadline: a queue that short keeps
+// slots busy despite the variation of arrivals, and a longer one only adds to
+// every latency.
 constexpr milliseconds kStandingDelay{20};
 constexpr milliseconds kClearedDelay{10};
-// A queue to which this part of what ends is added drains by itself, and soon:
-// refusing more would leave slots idle after it.
+// If arrivals are below this fraction of completions, the queue drains by
+// itself, and soon: refusing more would leave slots idle afterwards.
 constexpr double kShrinkingRatio = 0.9;
-// A queue must have stood for this long before the first raise: a burst shorter
-// than a deadline is better queued than refused, all of it can still be served.
+// Minimum age of a standing queue before the first raise: it is better to queue
+// a burst shorter than a deadline than to refuse it, since all of it can still
+// be served.
 constexpr milliseconds kStandingTime{100};
-// A window is judged once this many requests have ended in it, or when it has
-// lasted this long: fewer say nothing about capacity.
+// A window ends once this many requests have finished in it or its maximum
+// length is reached: fewer say nothing about capacity.
 constexpr std::uint32_t kMinFinished = 16;
 constexpr milliseconds kMaxWindow{100};
-// Part of the arrivals that one judgement may refuse: a window says little.
+// Fraction of the arrivals that one evaluation may refuse: a single window is a
+// small sample.
 constexpr double kMaxCut = 0.2;
 constexpr double kMinCut = 0.01;
-// A lowering lets in this part of the capacity more, by the density of demand
-// just above the level; while slots are free each lets in twice what the one
-// before did. So it takes long steps when demand has gone and short ones when
-// it is still many times the capacity.
+// A decrease admits this fraction of the capacity more, by the density of
+// demand just above the level; while slots are free, each decrease admits twice
+// as much as the previous one. So steps are long when demand has gone and short
+// while it is still many times the capacity.
 constexpr double kFirstStep = 0.02;
 constexpr double kMaxStep = 0.5;
 constexpr admission_rank kMaxRanksPerStep = 64;
-// The last rank is never refused by level.
+// The highest rank is never refused by level.
 constexpr admission_rank kMaxLevel = kRankCount - 1;
 
 }  // namespace
@@ -124,9 +127,9 @@
   level_ = std::max(before, std::min(level_, MaxUsefulLevel()));
 }
 
-// Critical requests are refused by level only if they alone are more than what
-// ends. Else a cut meant for the others would reach them, since the others are
-// refused at the entrance already and few of them arrive.
+// Critical requests are refused by level only if they alone exceed the
+// completions. Otherwise a cut meant for the others would reach them, since the
+// others are already refused by their callers' daemons and few of them arrive.
 admission_rank admission_level::MaxUsefulLevel() const {
   const auto* const first =
       arrivals_.begin() + LowestRank(priority::kCritical) / kRanksPerBin;
--- a/src/admit/concurrency_limit.cc
+++ b/src/admit/concurrency_limit.cc
@@ -1,4 +1,4 @@
-// The learnt concurrency limit: lowered while latency falls with it.
+// The adaptive concurrency limit: decreased as long as latency falls with it.
 #include "include/admit/concurrency_limit.h"
 
 #include <algorithm>
@@ -8,17 +8,18 @@
 
 namespace {
 
-// Short enough to react within a deadline or two, long enough for a mean.
+// Short enough to react within one or two deadlines, long enough for a mean.
 constexpr milliseconds kWindow{50};
 constexpr std::uint32_t kMinSamples = 16;
-// Latency this far above the baseline may be waiting inside the target;
-// ordinary scatter of a window's mean stays below.
+// Latency above this multiple of the baseline may be queueing inside the
+// target; the normal variation of a window's mean stays below.
 constexpr double kQueueingRatio = 1.5;
 constexpr double kDecreaseFactor = 0.8;
-// A lowering by a fifth that was right lowers latency by a fifth; half of that
-// counts as a proof, a tenth of it as noise.
+// A justified decrease of the limit by a fifth lowers latency by a fifth; half
+// of that counts as confirmation, a tenth of it as noise.
 constexpr double kConfirmRatio = 0.93;
-// The baseline follows the measured ratio upwards slowly, downwards at once.
+// The baseline follows the measured ratio slowly upwards, immediately
+// downwards.
 constexpr double kBaselineRiseWeight = 0.02;
 
 }  // namespace
@@ -74,7 +75,8 @@
   }
   if (ratio_before_decrease_ > 0 &&
       ratio > ratio_before_decrease_ * kConfirmRatio) {
-    // Lower concurrency didn't help: the work itself has become slower.
+    // Lower concurrency didn't reduce latency: the work itself has become
+    // slower.
     limit_ = limit_before_decrease_;
     baseline_ = ratio;
     ratio_before_decrease_ = 0;
--- a/src/admit/service_time.cc
+++ b/src/admit/service_time.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-// A change of the service time is known after some 16 requests, which a busy
-// target ends in a fraction of a short deadline.
+// A change of the service time is reflected after some 16 requests, which a
+// busy target completes in a fraction of a short deadline.
 constexpr double kWeight = 1.0 / 16;
-// Without a sample for this long the estimate is doubted.
+// The estimate is halved for each such period without a sample.
 constexpr milliseconds kHalvingPeriod{100};
 constexpr int kMaxHalvings = 40;
 
--- a/src/retry/repeat_budget.cc
+++ b/src/retry/repeat_budget.cc
@@ -1,4 +1,4 @@
-// Requests and repeats of the last window.
+// Counts of requests and repeats within the window.
 #include "include/retry/repeat_budget.h"
 
 namespace pistachioweir {
--- a/src/retry/reserve_share.cc
+++ b/src/retry/reserve_share.cc
@@ -1,4 +1,4 @@
-// The longest list of the last window.
+// The longest list of targets within the window.
 #include "include/retry/reserve_share.h"
 
 #include <algorithm>
--- a/src/route/balancer.cc
+++ b/src/route/balancer.cc
@@ -1,5 +1,5 @@
-// Placing of calls: power of two choices, slow start, ejection, refusal at the
-// entrance.
+// Target selection: power of two choices, slow start, ejection and refusal
+// before sending.
 #include "include/route/balancer.h"
 
 #include <algorithm>
@@ -10,34 +10,34 @@
 
 namespace {
 
-// How much of a target's latency average the newest answer is.
+// Weight of the newest answer in a target's latency average.
 constexpr double kLatencyWeight = 1.0 / 16;
-// A cold target's share grows over this time, from kColdShare.
+// A cold target's share grows from kColdShare over this time.
 constexpr milliseconds kSlowStart{2000};
 constexpr double kColdShare = 0.1;
-// Failures in a row that eject a target: one is chance, a silent connection
-// may give two.
+// Consecutive failures that eject a target: one is chance, a silent connection
+// may cause two.
 constexpr std::uint32_t kFailuresToEject = 3;
 constexpr milliseconds kFirstEjection{200};
 constexpr std::uint32_t kMaxDoublings = 5;
-// Of the targets, how many may be ejected at a time: a caller whose own
-// network is bad would else empty the set and refuse everything.
+// At most one in this many targets may be ejected at a time: a caller whose own
+// network is faulty would otherwise empty the set and refuse everything.
 constexpr std::uint32_t kMaxEjectedDivisor = 2;
-// A learnt level that isn't repeated falls this fast, in ranks a second, as the
-// target's own does when it has free slots.
+// Decay of a reported level that isn't renewed, in ranks per second; the
+// target's own level falls as fast when it has free slots.
 constexpr std::int64_t kLevelDecayPerSecond = 1000;
-// A refusing target is asked once in this while, so that a level that has
-// decayed is noticed while everything is refused at the entrance.
+// Interval at which a refusing target is probed, so that a lower level is
+// noticed while every call is refused before sending.
 constexpr milliseconds kProbePeriod{50};
-// Nanoseconds; keeps a target without answers comparable by its load.
+// Nanoseconds; makes targets without answers comparable by load.
 constexpr double kMinLatency = 1e6;
-// Share of its limit up to which a target takes a call without making it wait.
+// Utilization up to which a target takes a call without queueing it.
 constexpr double kKneeLoad = 0.75;
-// Another data centre is chosen if a call is expected to take less than this
-// part of the time there, its round trip included. Traffic between data centres
-// is kept for when it clearly helps.
+// Calls spill over to another data centre if their expected latency there, its
+// round trip included, is below this fraction of the local one.
+// Cross-data-centre traffic is kept for when it clearly helps.
 constexpr double kSpilloverRatio = 0.9;
-// Targets compared when there are many: two for the power of two choices, the
+// Maximum number of targets examined: two for the power of two choices, the
 // rest only if those refuse.
 constexpr std::uint32_t kMaxCandidates = 6;
 constexpr milliseconds kEntranceRetryAfter{50};
@@ -60,8 +60,9 @@
   return &targets_[ref.index];
 }
 
-// A VM that comes back under its old name is not the target that was leaving or
-// failing. Without this it would get no calls until its name left the list.
+// A VM that restarts under its old name is not the target that was leaving or
+// failing. Without this check it would get no calls until its name left the
+// list.
 bool balancer::IsSameIncarnation(const target_info& known,
                                  const target_info& reported) {
   const bool restarted = known.incarnation != incarnation_id{} &&
@@ -102,7 +103,7 @@
       entry->levels.resize(options_.methods);
       entry->limit = std::max(1U, info.slots);
       ++listed_;
-      // On the first list nothing is known: all are taken as warm.
+      // Nothing is known on the first list: all targets are assumed to be warm.
       const bool cold = info.cold || !first_list;
       entry->warm_from = cold ? now + kSlowStart : now;
       if (info.warm_up_left > milliseconds(0)) {
@@ -228,9 +229,9 @@
   return known.level > decayed ? known.level - decayed : 0;
 }
 
-// Critical requests are not refused by hearsay: a level learnt a moment ago may
-// have decayed, and then this one would be refused while a target takes less
-// important ones. They ask each target, within the bound on tries.
+// Critical requests are not refused by a reported level: it may have fallen
+// since, and this one would be refused while a target takes less important
+// ones. They are sent to each target, up to the maximum number of attempts.
 bool balancer::Refuses(const target& candidate,
                        const placement_request& request,
                        time_point now) const {
@@ -241,15 +242,15 @@
   return IsRefusedBy(level, request.level, request.ticket, request.is_nested);
 }
 
-// A target that isn't used has no new answers: the old ones are doubted more
-// and more, or a target that was slow once would never be asked again.
+// An unused target has no new answers: the weight of old ones decays, or a
+// target that was once slow would never be tried again.
 double balancer::LatencyOf(const target& of, time_point now) const {
   const double age =
       std::chrono::duration<double>(now - of.latency_measured_at).count();
   return kMinLatency + of.latency * std::exp2(-std::max(0.0, age));
 }
 
-// How full the target would be with one more call, against what it can run.
+// Utilization of the target with one more call.
 double balancer::LoadOf(const target& of, time_point now) const {
   double capacity = std::max(1.0, of.limit);
   if (options_.use_ejection && now < of.warm_from) {
@@ -273,8 +274,7 @@
   const std::uint32_t wanted =
       options_.policy == placement_policy::kRandom ? 1 : 2;
   const auto start = static_cast<std::uint32_t>((random & UINT32_MAX) % size);
-  // Two different places are looked at, the ones after them only if those
-  // refuse.
+  // Two different targets are examined, further ones only if those refuse.
   const auto second =
       size < 2 ? 0
                : 1 + static_cast<std::uint32_t>((random >> 32) % (size - 1));
@@ -314,8 +314,8 @@
   if (near.index == kNone || far.index == kNone) {
     return near.index == kNone ? far.index : near.index;
   }
-  // Below the knee nothing waits, so that load says nothing of the time that a
-  // call takes.
+  // Below the knee nothing queues, so load doesn't affect the latency of a
+  // call.
   const auto expected = [](const candidate& of) {
     return of.latency * std::max(of.load, kKneeLoad);
   };
@@ -448,9 +448,9 @@
   failed.failures = kFailuresToEject - 1;  // One more failure ejects again.
 }
 
-// Targets that can't be reached take no calls in place of an ejected one. If
-// they counted, the last target that answers could be ejected for two lost
-// answers, and requests would be refused beside a target that is well.
+// Unreachable targets can't take over the calls of an ejected one. If they
+// counted, the last target that answers could be ejected after two lost
+// answers, and requests would be refused although it is healthy.
 bool balancer::MayEject(time_point now) const {
   std::uint32_t ejected = 0;
   std::uint32_t eligible = 0;
--- a/src/route/caller_mix.cc
+++ b/src/route/caller_mix.cc
@@ -1,4 +1,4 @@
-// Counts of calls by the service of their VM.
+// Counts of calls by the service of the calling VM.
 #include "include/route/caller_mix.h"
 
 #include <algorithm>
--- a/src/route/expected_end.cc
+++ b/src/route/expected_end.cc
@@ -1,4 +1,4 @@
-// Placing by the expected end of a call: when, and whether well.
+// Target selection by the expected completion time and failure rate of a call.
 #include <algorithm>
 #include <limits>
 #include <vector>
@@ -8,28 +8,28 @@
 namespace pistachioweir {
 namespace {
 
-// A target in another data centre must be expected to end the call earlier by
-// this part of its objective. Traffic between data centres costs money and the
-// links' room, and a call that ends well within its objective gains nothing by
+// A remote target must be expected to complete the call earlier by this
+// fraction of its objective. Cross-data-centre traffic costs money and link
+// capacity, and a call that ends well within its objective gains nothing by
 // ending earlier.
 constexpr double kRemoteCost = 1.0 / 8;
-// What a failure costs, in objectives: the time of another try. A call that may
-// not be sent again is lost instead.
+// Cost of a failure, in objectives: the time of another attempt. A call that
+// may not be sent again is lost instead.
 constexpr double kFailureCost = 2;
 constexpr double kLostCost = 6;
-// Failures below this part, and those that the best target has as well, are no
-// reason to go elsewhere: they swing by chance, and where a service further
-// down refuses, the targets of all data centres fail alike.
+// Failure rates below this, and the rate that the best target has as well,
+// don't affect selection: they fluctuate randomly, and where a downstream
+// service refuses, the targets of all data centres fail alike.
 constexpr double kToleratedFailures = 0.15;
-// Targets whose expected ends differ by less than this part of the objective
-// are as good as each other, and the emptiest of them is taken. Else the
-// fastest would get all calls until it is full, and a new one none.
+// Targets whose costs differ by less than this fraction of the objective are
+// equivalent, and the least utilized of them is selected. Otherwise the fastest
+// would get all calls until it is full, and a new one none.
 constexpr double kCostTolerance = 1.0 / 16;
-// From this part of its slots on a target is taken to become slower, up to half
-// as slow again when it is full.
+// Above this utilization a target is expected to become slower, by up to half
+// when it is full.
 constexpr double kBusyThreshold = 0.7;
 constexpr double kBusySlowdown = 0.5;
-// A target that has just started takes about twice the time.
+// A target that has just started takes about twice as long.
 constexpr double kColdFactor = 2;
 
 double Count(duration time) {
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-// How full the target would be with one more call.
+// Utilization of the target with one more call.
 double balancer::Utilization(const target& of) {
   return (of.in_flight + of.other_load + 1) / std::max(1.0, of.limit);
 }
@@ -92,7 +92,7 @@
   }
   const double max_cost = min_cost + kCostTolerance * Count(request.objective);
   std::uint32_t chosen = kNone;
-  // From a random place on, so that equals get equal shares.
+  // Starts at a random index, so that equivalent targets get equal shares.
   for (std::size_t i = 0; i < options.size(); ++i) {
     const option& examined = options[(random + i) % options.size()];
     const bool less_utilized =
--- a/src/route/route_table.cc
+++ b/src/route/route_table.cc
@@ -70,7 +70,7 @@
   path = path.substr(0, path.find('?'));
   std::string key = IndexKey(NormalHost(host), path);
   const std::size_t path_begin = key.size() - path.size();
-  // From the longest part of the path that ends with a slash to the shortest.
+  // Tries prefixes that end with a slash, from the longest to the shortest.
   for (;;) {
     const std::size_t slash = key.rfind('/');
     if (slash == key.npos || slash < path_begin) {
--- a/src/route/target_estimates.cc
+++ b/src/route/target_estimates.cc
@@ -1,4 +1,4 @@
-// Running averages of times and failures.
+// Running averages of run times and failures.
 #include "include/route/target_estimates.h"
 
 #include <algorithm>
@@ -7,19 +7,19 @@
 namespace pistachioweir {
 namespace {
 
-// Part of an average that the newest sample is. Work times spread by half of
-// their mean and more, so a target's factor needs some twenty of them.
+// Weight of the newest sample in an average. Run times vary by half of their
+// mean and more, so a target's factor needs some twenty samples.
 constexpr double kTargetWeight = 1.0 / 20;
 constexpr double kKindWeight = 1.0 / 50;
-// Failures must show within a few: a target that loses two of five answers has
-// cost dozens of requests after a second.
+// Failures must show within a few samples: a target that loses two of five
+// answers has cost dozens of requests after a second.
 constexpr double kFailureWeight = 1.0 / 12;
-// Without news, half of what is known of failures is forgotten in this time.
+// Without new samples the failure rate halves in this time.
 constexpr double kHalfLifeSeconds = 2;
-// A factor beyond these is a stray sample, no target.
+// Factors outside these bounds are outliers.
 constexpr double kMaxFactor = 20;
 constexpr double kMinFactor = 0.05;
-// Where nothing is known; only compared with itself.
+// Run time in nanoseconds where nothing is known; only compared with itself.
 constexpr double kDefaultRunTime = 50e6;
 
 void UpdateAverage(double* average, double sample, double weight) {
@@ -49,7 +49,7 @@
   UpdateAverage(&state.failure_rate, how == sample::kFailed ? 1 : 0,
                 kFailureWeight);
   if (how == sample::kFailed) {
-    return;  // Its time says nothing of the work.
+    return;  // Its time says nothing about the run time.
   }
   const double time = std::max<double>(1, static_cast<double>(served.count()));
   double& known = kinds_[kind].time;
--- a/src/route/weighted_split.cc
+++ b/src/route/weighted_split.cc
@@ -6,8 +6,8 @@
 namespace pistachioweir {
 namespace {
 
-// Steps of a cycle that a beginning may lie ahead; a cycle is at most as long
-// as the sum of the weights, mostly 100.
+// Upper bound of the initial position in a cycle; a cycle is at most as long as
+// the sum of the weights, usually 100.
 constexpr std::uint64_t kMaxInitialSteps = 100;
 
 }  // namespace
