--- a/bench/admit_bench.cc
+++ b/bench/admit_bench.cc
@@ -1,5 +1,5 @@
-// What one decision costs: admit and place, on the steady path, with few and
-// with many calls known to the daemon.
+// Cost of one decision: admission and target selection in the steady state,
+// with few and with many queued calls.
 #include <benchmark/benchmark.h>
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-// GCC pairs the inlined library calls with these and warns.
+// GCC matches the inlined library calls with these operators and warns.
 #pragma GCC diagnostic ignored "-Wmismatched-new-delete"
 
 void* operator new(std::size_t size) {
@@ -54,8 +54,8 @@
   return chooser;
 }
 
-// One call places, is admitted into a queue of known calls, the next one
-// starts, ends and answers.
+// One iteration places a call, offers it to a queue of `known` calls, finishes
+// the oldest running one and starts the next.
 void BM_AdmitAndPlace(benchmark::State& state) {
   const auto known = static_cast<std::uint32_t>(state.range(0));
   time_point now{seconds(1000)};
--- a/tests/adaptive_throttle_test.cc
+++ b/tests/adaptive_throttle_test.cc
@@ -1,4 +1,4 @@
-// Letting in only what ends well.
+// Throttling of requests by their failure rate and by downstream pressure.
 #include "include/admit/adaptive_throttle.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 const time_point kStart{seconds(1000)};
 
-TEST(AdaptiveThrottleTest, LetsEverythingInWhileRunsEndWell) {
+TEST(AdaptiveThrottleTest, AdmitsEverythingWhileRunsSucceed) {
   adaptive_throttle throttle(2);
   for (int i = 0; i < 1000; ++i) {
     EXPECT_TRUE(throttle.Admit());
@@ -24,8 +24,9 @@
   EXPECT_EQ(throttle.share(), 1);
 }
 
-// Guards against an organisation that is ahead and is shed like the others.
-TEST(AdaptiveThrottleTest, OthersGiveWayToRequestsThatAreAhead) {
+// Guards against shedding the requests of an organisation with precedence like
+// the others.
+TEST(AdaptiveThrottleTest, RequestsWithPrecedenceDisplaceOthers) {
   adaptive_throttle throttle(2);
   time_point now = kStart;
   int ahead = 0;
@@ -45,9 +46,10 @@
   EXPECT_LT(others, 400);
 }
 
-// Plays requests that each make four calls to a service which can serve only a
-// part of the calls and refuses the others at random. Returns how many requests
-// of a hundred, let in or not, end well in the last seconds.
+// Simulates requests that each make four calls to a service which can serve
+// only a part of the calls and refuses the others at random. Returns the
+// percentage of all requests, admitted or not, that succeed in the second half
+// of the simulation.
 double SuccessPercentage(double calls_that_fit, bool throttled) {
   constexpr int kRequestsPerStep = 10;
   constexpr int kCallsEach = 4;
@@ -79,22 +81,22 @@
   return 100.0 * served / asked;
 }
 
-// A service far down the chain has room for two thirds of the calls that it
-// gets, and each request makes four of them. Its refusals hit the requests at
-// random: callers see four of five fail, after all their work was done.
-TEST(AdaptiveThrottleTest, MoreRequestsEndWellIfFewerAreLetIn) {
+// A service far downstream has capacity for two thirds of the calls that it
+// gets, and each request makes four of them. Its random refusals make four of
+// five requests fail after all their work was done.
+TEST(AdaptiveThrottleTest, MoreRequestsSucceedIfFewerAreAdmitted) {
   EXPECT_LT(SuccessPercentage(0.67, false), 25);
   EXPECT_GT(SuccessPercentage(0.67, true), 55);
 }
 
-TEST(AdaptiveThrottleTest, CostsLittleWhereEverythingFits) {
+TEST(AdaptiveThrottleTest, CostsLittleWithinCapacity) {
   EXPECT_GT(SuccessPercentage(1.0, true), 99);
 }
 
-// Registrations and listings, as many of each, make the same calls, and there
-// is room for three quarters of them. Were both refused alike, every fourth
-// registration would be lost although enough listings could give way.
-TEST(AdaptiveThrottleTest, WhatMattersLessGivesWayFirst) {
+// Registrations and listings, equally many, make the same calls, and there is
+// capacity for three quarters of them. If both were refused alike, every fourth
+// registration would be lost although enough listings could be refused instead.
+TEST(AdaptiveThrottleTest, LessImportantKindsAreReducedFirst) {
   constexpr int kEachPerStep = 10;
   constexpr int kCallsEach = 4;
   constexpr double kFit = 2 * kEachPerStep * kCallsEach * 0.75;
@@ -129,10 +131,10 @@
   EXPECT_GT(served[1], kAsked * 35 / 100);
 }
 
-// Calls wait longer and longer at a service further down. A kind that has once
-// failed under such pressure lets in less before its calls are refused; one
-// that makes no calls is left alone, whatever the pressure.
-TEST(AdaptiveThrottleTest, PressureHoldsBackOnlyWhatMakesCalls) {
+// Queueing times increase at a downstream service. A kind that has failed under
+// such pressure before is throttled before its calls are refused; one that
+// makes no calls is not throttled at any pressure.
+TEST(AdaptiveThrottleTest, PressureThrottlesOnlyKindsThatMakeCalls) {
   adaptive_throttle calling(2);
   adaptive_throttle leaf(2);
   time_point now = kStart;
@@ -155,10 +157,10 @@
   EXPECT_EQ(calling.share(), 1);
 }
 
-// An answer in four is lost between a target and the services that it calls,
-// which have room. To let in less would refuse callers and save nobody: as
-// large a part of the rest would fail.
-TEST(AdaptiveThrottleTest, FailuresWithRoomBelowAreNoReason) {
+// One in four answers is lost between a target and the services that it calls,
+// which have spare capacity. Throttling would refuse callers without benefit:
+// the same part of the rest would fail.
+TEST(AdaptiveThrottleTest, FailuresWithoutPressureDoNotThrottle) {
   adaptive_throttle throttle(2);
   time_point now = kStart;
   for (int i = 0; i < 400; ++i) {
@@ -169,9 +171,9 @@
   EXPECT_EQ(throttle.share(), 1);
 }
 
-// The called service has room again. What was kept out comes back within
-// seconds, since some requests are always let in and end well.
-TEST(AdaptiveThrottleTest, OpensAgainWhenRunsEndWell) {
+// The called service has capacity again. The share recovers within seconds,
+// since some requests are always admitted and succeed.
+TEST(AdaptiveThrottleTest, RecoversWhenRunsSucceed) {
   adaptive_throttle throttle(2);
   time_point now = kStart;
   for (int i = 0; i < 400; ++i) {
@@ -184,7 +186,7 @@
   EXPECT_EQ(throttle.share(), 1);
 }
 
-TEST(AdaptiveThrottleTest, OneFailureAmongFewRunsIsNoReason) {
+TEST(AdaptiveThrottleTest, OneFailureAmongFewRunsDoesNotThrottle) {
   adaptive_throttle throttle(2);
   time_point now = kStart;
   for (int i = 0; i < 100; ++i) {
@@ -202,7 +204,7 @@
   EXPECT_TRUE(mix.IsMadeByTargets());
 }
 
-TEST(CallerMixTest, CallersOutsideComeFromAllServicesVms) {
+TEST(CallerMixTest, OutsideCallersUseTheVmsOfAllServices) {
   caller_mix mix;
   const std::array<std::string_view, 3> services{"registry", "billing",
                                                  "terms"};
@@ -212,9 +214,9 @@
   EXPECT_FALSE(mix.IsMadeByTargets());
 }
 
-// A route that only targets called is opened to callers outside. Refusing them
-// is then no waste, and must become possible.
-TEST(CallerMixTest, NoticesThatOthersCallNow) {
+// A route that only targets called is opened to outside callers. Refusing those
+// wastes no work, and must become possible.
+TEST(CallerMixTest, AdaptsWhenOutsideCallersAppear) {
   caller_mix mix;
   for (int i = 0; i < 2000; ++i) {
     mix.Add("registry");
--- a/tests/admission_controller_test.cc
+++ b/tests/admission_controller_test.cc
@@ -40,9 +40,9 @@
   EXPECT_EQ(decision.why, reason::kDeadlinePassed);
 }
 
-// More important work fills the target for long. In strict order the least
-// important callers would get nothing at all in that time; with an assured
-// share they get about that part of the work.
+// More important work keeps the target busy for a long time. In strict priority
+// order the least important callers would get nothing in that time; with an
+// assured share they get about that share of the work.
 TEST(AdmissionControllerTest, LessImportantWorkGetsItsAssuredShare) {
   admission_controller controller({.slots = 1,
                                    .adaptive_limit = false,
@@ -71,7 +71,7 @@
   EXPECT_LT(started[1], 2000 / 4);
 }
 
-// Plays a random schedule and checks after each step what must always hold.
+// Runs a random schedule and checks the invariants after each step.
 RC_GTEST_PROP(AdmissionControllerTest,
               EveryRequestEndsOnceAndNoMoreRunThanTheLimit,
               ()) {
@@ -129,11 +129,10 @@
                                     controller.running() + controller.queued());
 }
 
-// Under overload a signature is refused although a lookup waits in the same
-// queue. A user notices that an important request fails while an unimportant
-// one is answered.
+// Guards against refusing a critical request under overload while a less
+// important one is queued.
 RC_GTEST_PROP(AdmissionControllerTest,
-              CriticalIsRefusedOnlyWhenNothingLowerWaits,
+              CriticalIsRefusedOnlyWhenNothingLowerIsQueued,
               ()) {
   admission_controller controller({.slots = 2, .max_queue = 6});
   std::map<std::uint64_t, priority> waiting;
@@ -170,7 +169,7 @@
     const bool refused = decision.action == admission_action::kRefused &&
                          level == priority::kCritical;
     if (refused) {
-      // At this moment, before draining may find idle slots and lower it.
+      // Checked before draining, which may find idle slots and lower the level.
       RC_ASSERT(controller.own_level() >= LowestRank(priority::kCritical));
       const auto lower = Request(priority::kLow, milliseconds(40), now);
       RC_ASSERT(controller.Offer(lower, now, 0).action ==
--- a/tests/balancer_test.cc
+++ b/tests/balancer_test.cc
@@ -1,4 +1,4 @@
-// Placing of calls on the targets of one service.
+// Selection of a target among those of one service.
 #include "include/route/balancer.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
           {.vm = "c", .data_centre = "waw-3"}};
 }
 
-TEST(BalancerTest, SaysThatThereIsNoTarget) {
+TEST(BalancerTest, ReportsThatThereIsNoTarget) {
   balancer chooser({.data_centre = "waw-1"});
   const auto choice = chooser.Place({}, kStart, 7);
   EXPECT_FALSE(choice.placed);
@@ -36,9 +36,9 @@
   }
 }
 
-// A VM's daemon says that it is leaving, stops, and starts again under the same
-// name. It gets calls again; before, callers that had heard of its leaving
-// never sent it another one, and the service had one target less for them.
+// A VM's daemon announces that it is leaving, stops, and restarts under the
+// same name. Callers that had received the announcement never sent it another
+// call, so the service had one target less for them.
 TEST(BalancerTest, RestartedTargetGetsCallsAgain) {
   balancer chooser({.data_centre = "waw-1"});
   std::vector<target_info> targets = {
@@ -54,8 +54,8 @@
 }
 
 // All three targets stop answering, as seen from a caller whose own network is
-// broken. If it ejected them all, it would refuse everything by itself for as
-// long as the ejection lasts, also when its network is back.
+// faulty. If it ejected them all, it would refuse every call until the
+// ejections end, even after its network has recovered.
 TEST(BalancerTest, NeverEjectsEveryTarget) {
   balancer chooser({.data_centre = "waw-1"});
   chooser.SetTargets(ThreeTargets(), kStart);
@@ -68,11 +68,11 @@
   EXPECT_GE(chooser.usable(kStart), 2U);
 }
 
-// One of three daemons has stopped and one is paused, so neither can be
-// reached. Some answers of the third target are lost. With the other two
-// counted it was ejected, and requests were refused although it was well (log:
-// not_placed why=no_target usable=0).
-TEST(BalancerTest, NeverEjectsTheLastTargetInReach) {
+// One of three daemons has stopped and one is paused, so neither is reachable,
+// and some answers of the third target are lost. When the other two were
+// counted as eligible, the third was ejected, and requests were refused
+// although it was healthy (log: not_placed why=no_target usable=0).
+TEST(BalancerTest, NeverEjectsTheLastReachableTarget) {
   balancer chooser({.data_centre = "waw-1"});
   chooser.SetTargets(ThreeTargets(), kStart);
   chooser.SetReachable(*chooser.RefOf("a"), false);
--- a/tests/downstream_failure_rate_test.cc
+++ b/tests/downstream_failure_rate_test.cc
@@ -1,4 +1,4 @@
-// When a failed request is not run again, since its calls fail.
+// A failed request is not repeated while its target's calls fail often.
 #include "include/retry/downstream_failure_rate.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 const time_point kStart{seconds(1000)};
 
-TEST(DownstreamFailureRateTest, FewLostCallsAreNoReason) {
+TEST(DownstreamFailureRateTest, FewLostCallsStayBelowTheMaximum) {
   downstream_failure_rate failure_rate;
   std::mt19937 random(7);
   std::bernoulli_distribution fails(0.02);
@@ -25,7 +25,7 @@
   EXPECT_LT(too_high, 100);
 }
 
-TEST(DownstreamFailureRateTest, IsForgottenInSeconds) {
+TEST(DownstreamFailureRateTest, DecaysWithinSeconds) {
   downstream_failure_rate failure_rate;
   for (int i = 0; i < 100; ++i) {
     failure_rate.Add(true, kStart + milliseconds(5 * i));
@@ -39,9 +39,10 @@
   double served = 0;          // Of all requests.
 };
 
-// Requests that make four calls each; `refusal_rate` of the arrivals of calls
-// are refused. Calls may be repeated up to a tenth of their number, requests
-// likewise; with `limited`, requests only while their calls don't fail often.
+// Simulates requests that make four calls each, of which a fraction
+// `refusal_rate` is refused. Calls and requests may each be repeated up to a
+// tenth of their number; with `limited`, requests only while the failure rate
+// of their calls isn't too high.
 simulation_result Simulate(double refusal_rate, bool limited) {
   constexpr int kRequests = 20000;
   constexpr int kCallsEach = 4;
@@ -55,7 +56,7 @@
   int served = 0;
   int first_calls = 0;
   int repeats = 0;
-  // Whether the run ended well; a run stops at its first call that fails.
+  // Returns whether the run succeeded; a run stops at its first failed call.
   const auto run = [&](bool is_repeat) {
     for (int i = 0; i < kCallsEach; ++i) {
       is_repeat ? ++repeats : ++first_calls;
@@ -86,10 +87,10 @@
           .served = 1.0 * served / kRequests};
 }
 
-// All targets of a service turn away more than half of what they get. Requests
-// whose calls fail are run again, fail again, and their calls count as repeats
-// of the called service: together with its own they pass what the operator
-// allows for it, and hardly any request is better off.
+// All targets of a service refuse more than half of their calls. Requests whose
+// calls fail are run again and fail again, and their calls count as repeats of
+// the called service: together with its own repeats they exceed the operator's
+// limit, and hardly any more requests succeed.
 TEST(DownstreamFailureRateTest, RequestsAreNotRepeatedWhereTheirCallsFail) {
   const simulation_result without = Simulate(0.55, false);
   const simulation_result limited = Simulate(0.55, true);
@@ -98,7 +99,8 @@
   EXPECT_GT(limited.served, without.served - 0.02);
 }
 
-// A few calls are lost; repeating their requests saves nearly all of them.
+// A few calls are lost; repeating their requests makes nearly all of them
+// succeed.
 TEST(DownstreamFailureRateTest, RequestsAreRepeatedWhereFewCallsAreLost) {
   EXPECT_GT(Simulate(0.02, true).served, 0.99);
 }
--- a/tests/expected_end_test.cc
+++ b/tests/expected_end_test.cc
@@ -1,4 +1,4 @@
-// Placing by the expected end of a call: what callers get where targets differ.
+// Target selection by the expected completion of a call, with unequal targets.
 #include "include/route/balancer.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
                         kStart);
   }
 
-  // Places a call; it ends after `time`, as `how` says.
+  // Places a call that ends after `time` with result `how`.
   std::string Call(duration time,
                    call_result how = call_result::kAnswered,
                    placement_request request = {}) {
@@ -41,7 +41,7 @@
   std::mt19937_64 random_{7};
 };
 
-TEST_F(expected_end_test, StaysInItsDataCentreWhileNothingIsLate) {
+TEST_F(expected_end_test, StaysInItsDataCentreWhileNothingIsSlow) {
   for (int i = 0; i < 100; ++i) {
     EXPECT_EQ(Call(milliseconds(100)), "near");
   }
@@ -59,9 +59,9 @@
   EXPECT_GE(held["far-2"], 4);
 }
 
-// One target of three loses two of five answers while its health looks well.
-// Calls that went on being sent there failed by the same part; registrations
-// can't even be sent again.
+// One of three targets loses two of five answers while its health endpoint
+// looks fine. Calls that were still sent there failed at that rate, and
+// registrations can't even be sent again.
 TEST_F(expected_end_test, AvoidsATargetThatFailsMoreThanTheOthers) {
   std::uniform_real_distribution<double> chance(0, 1);
   int to_failing = 0;
@@ -81,9 +81,9 @@
   EXPECT_GT(to_failing, 0);
 }
 
-// A service further down refuses, and all targets answer that they failed. To
-// spread calls over the data centres because of that would help nobody.
-TEST_F(expected_end_test, FailuresThatAllHaveMoveNothing) {
+// A downstream service refuses, and all targets answer with failures. Spreading
+// calls over the data centres would not help.
+TEST_F(expected_end_test, CommonFailuresDoNotMoveCalls) {
   std::uniform_real_distribution<double> chance(0, 1);
   int near = 0;
   constexpr int kCalls = 600;
@@ -98,9 +98,9 @@
   EXPECT_GT(near, kCalls * 6 / 10);
 }
 
-// A target has just joined. It was given the long kind of work first, looked
-// slow for seconds, and got nothing more of any kind.
-TEST_F(expected_end_test, ATargetThatGotTheLongKindFirstIsNotTakenForSlow) {
+// A target that had just joined got the slowest kind of requests first, looked
+// slow for seconds, and got no more requests of any kind.
+TEST_F(expected_end_test, ATargetThatGotTheSlowestKindFirstDoesNotLookSlow) {
   for (int i = 0; i < 200; ++i) {
     now_ += milliseconds(5);
     const std::uint32_t kind = i % 2;
@@ -134,26 +134,25 @@
   EXPECT_EQ(Call(milliseconds(10)), "near");
 }
 
-// The daemons of all targets of a service are restarted one after the other, a
-// second apart, and each takes some seconds to stop. For a while all of them
-// are stopping, though every target runs. Callers' daemons placed nothing there
-// any more, and all calls were refused for a second (log: not_placed
-// why=no_target usable=0).
+// The daemons of all targets of a service are restarted a second apart, and
+// each takes some seconds to stop. For a while all of them are stopping, though
+// every target runs. Callers' daemons placed no calls there, and all calls were
+// refused for a second (log: not_placed why=no_target usable=0).
 TEST_F(expected_end_test, WithAllDaemonsStoppingCallsStillGoThere) {
   for (const std::string vm : {"near", "far-1", "far-2"}) {
     chooser_.SetStopping(*chooser_.RefOf(vm), true);
   }
   EXPECT_EQ(Call(milliseconds(10)), "near");
-  // One that serves again gets everything.
+  // A daemon that serves again gets every call.
   chooser_.SetStopping(*chooser_.RefOf("far-2"), false);
   for (int i = 0; i < 20; ++i) {
     EXPECT_EQ(Call(milliseconds(10)), "far-2");
   }
 }
 
-// A call that failed at the only target whose daemon serves may be tried once
-// more where one is stopping.
-TEST_F(expected_end_test, AStoppingDaemonIsTheSecondTry) {
+// A call that failed at the only target with a serving daemon may be retried at
+// one whose daemon is stopping.
+TEST_F(expected_end_test, AStoppingDaemonIsTheSecondAttempt) {
   chooser_.SetStopping(*chooser_.RefOf("far-1"), true);
   chooser_.SetReachable(*chooser_.RefOf("far-2"), false);
   placement_request request;
@@ -165,11 +164,11 @@
   EXPECT_EQ(chooser_.VmOf(second.target), "far-1");
 }
 
-// Machines are lost and daemons restarted: the four targets that a call is sent
-// to one after the other are gone, and it was refused after the fourth although
-// the fifth was well (log: four times answer why=not_ready, then answered
-// why=not_ready).
-TEST_F(expected_end_test, TargetsThatAreGoneDontUseUpTheTries) {
+// After a loss of machines and daemon restarts, the four targets that a call
+// was sent to in turn were unavailable, and it was refused after the fourth
+// although the fifth was healthy (log: four times answer why=not_ready, then
+// answered why=not_ready).
+TEST_F(expected_end_test, UnavailableTargetsDoNotCountAsAttempts) {
   balancer chooser({.policy = placement_policy::kExpectedEnd, .max_tries = 4});
   constexpr std::size_t kTargets = 6;
   std::vector<target_info> targets;
@@ -188,7 +187,7 @@
     EXPECT_TRUE(chooser.MayTryElsewhere(request, kStart)) << i;
   }
   EXPECT_TRUE(chooser.Place(request, kStart, random_()).placed);
-  // Refusals of targets that are there do: the fourth is the last.
+  // Refusals by available targets do count: the fourth is the last.
   request.tried.unavailable = 0;
   EXPECT_FALSE(chooser.MayTryElsewhere(request, kStart));
 }
--- a/tests/overload_test.cc
+++ b/tests/overload_test.cc
@@ -1,5 +1,5 @@
-// What callers get under load: the daemon's decision classes in the load
-// model, at the brief's sizes, with fixed seeds.
+// Service under overload: the daemon's decision classes in the load model, at
+// the specified system sizes, with fixed seeds.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,7 +17,8 @@
 scenario Find(std::string_view name) {
   const std::vector<scenario> all = Scenarios();
   scenario found = *std::ranges::find(all, name, &scenario::name);
-  // As long as the triggers of the experiment, but for the long saturation.
+  // Keeps the trigger lengths of the experiment, except for the long
+  // saturation.
   found.trigger_end = std::min<duration>(found.trigger_end, seconds(5));
   found.end = found.trigger_end + seconds(3);
   return found;
@@ -45,8 +46,9 @@
   EXPECT_EQ(run.result.critical_refused_early, 0U);
 }
 
-// Demand is five times the usual for 100 ms of each second. A user notices
-// refusals although the slots could have answered most within the deadline.
+// Demand is five times the usual for 100 ms of each second. Guards against
+// refusals although the slots could have answered most requests within the
+// deadline.
 TEST(OverloadTest, BurstsAreQueuedAndImportantRequestsServed) {
   const measured run = Measure("burst", 3);
   ExpectCriticalServed(run);
@@ -54,39 +56,39 @@
   EXPECT_GT(run.all.goodput, run.pass_through.goodput);
 }
 
-// One of three targets takes five times as long. A user notices that a third
-// of the requests is late.
+// One of three targets takes five times as long. Guards against a third of the
+// requests being late.
 TEST(OverloadTest, ASlowTargetIsAvoided) {
   const measured run = Measure("slow-target", 3);
   ExpectCriticalServed(run);
   EXPECT_GE(run.all.goodput, 0.99);
 }
 
-// One listing is suddenly wanted by everyone. A user of other methods notices
-// that these fail as well.
+// Demand for a single listing surges. Guards against other methods failing with
+// it.
 TEST(OverloadTest, DemandForOneMethodDoesNotStarveOthers) {
   const measured run = Measure("skewed-method", 3);
   ExpectCriticalServed(run);
   EXPECT_GE(run.all.possible, 0.9);
 }
 
-// All callers enter at one daemon. A user notices queues beside idle targets.
+// All callers use one daemon. Guards against queues beside idle targets.
 TEST(OverloadTest, EntranceAtOneDaemonReachesAllTargets) {
   const measured run = Measure("skewed-entry", 3);
   ExpectCriticalServed(run);
   EXPECT_GE(run.all.goodput, 0.99);
 }
 
-// A tenth of the requests takes eight times as long, and there are too many. A
-// user notices short requests that wait behind long ones.
+// A tenth of the requests takes eight times as long, and demand exceeds
+// capacity. Guards against short requests waiting behind long ones.
 TEST(OverloadTest, LongWorkDoesNotBlockShortWork) {
   const measured run = Measure("mixed-work", 3);
   EXPECT_GE(run.all.critical, 0.98);
   EXPECT_GE(run.all.possible, 0.9);
 }
 
-// Demand stays at nearly twice what the slots can do. A user notices that
-// almost nothing is answered in time, though all targets work all the time.
+// Demand stays at nearly twice the capacity of the slots. Guards against almost
+// nothing being answered in time although all targets are busy.
 TEST(OverloadTest, SaturationKeepsGoodputAtWhatTheSlotsCanDo) {
   const measured run = Measure("saturation", 3);
   ExpectCriticalServed(run);
@@ -94,9 +96,9 @@
   EXPECT_GT(run.all.goodput, run.pass_through.goodput);
 }
 
-// The deep service takes five times as long while demand triples and callers
-// send each failed request up to three times more. A user notices that nothing
-// works any more, also after the cause has gone.
+// The deepest service takes five times as long while demand triples and callers
+// send each failed request up to three times more. Guards against a collapse
+// that persists after the cause has ended.
 TEST(OverloadTest, ASurgeOnASlowServiceIsSurvivedAndEnds) {
   const measured run = Measure("surge", 3);
   EXPECT_GE(run.all.critical, 0.98);
@@ -107,23 +109,23 @@
   EXPECT_LE(run.result.most_executions, 9U);
 }
 
-// A request crashes each target that runs it, and its caller sends it again
-// for ever. A user notices that the service is down for everybody.
+// A request crashes each target that runs it, and its caller resends it
+// indefinitely. Guards against an outage of the service for all callers.
 TEST(OverloadTest, ARequestThatCrashesTargetsIsStoppedAfterTwo) {
   const measured run = Measure("crashing", 3);
   EXPECT_EQ(run.result.crashes, 2U);
   EXPECT_GE(run.all.possible, 0.9);
 }
 
-// One target of each service is gone without a word while callers still have
-// it in their lists. A user notices that every third request times out.
+// One target of each service has disappeared silently while callers still list
+// it. Guards against every third request timing out.
 TEST(OverloadTest, AnOldListOfTargetsCostsLittle) {
   const measured run = Measure("old-view", 3);
   EXPECT_GE(run.all.goodput, 0.95);
 }
 
-// A request that is refused in deep chains has cost work at each hop. A user
-// notices executions that multiply with the depth of the chain.
+// A request that is refused deep in a call chain has cost work at each hop.
+// Guards against executions that multiply with the depth of the chain.
 TEST(OverloadTest, ExecutionsOfARequestAreBoundedAtDepthEleven) {
   const measured run = Measure("crashing", 11);
   EXPECT_LE(run.result.most_retries, 2U);
--- a/tests/repeat_budget_test.cc
+++ b/tests/repeat_budget_test.cc
@@ -1,4 +1,4 @@
-// The bound on repeats in any span of time.
+// The bound on repeats in any time window.
 #include "include/retry/repeat_budget.h"
 
 #include <gtest/gtest.h>
@@ -20,9 +20,10 @@
   EXPECT_TRUE(budget.TrySpend(kStart + milliseconds(10001)));
 }
 
-// A quiet hour must not save up repeats: a service that begins to fail would
-// get them all at once, on top of what its requests bring.
-TEST(RepeatBudgetTest, AQuietTimeSavesNothing) {
+// Guards against repeats saved up in a quiet hour: a service that begins to
+// fail would get them all at once, in addition to those that its requests
+// allow.
+TEST(RepeatBudgetTest, AQuietPeriodSavesNothing) {
   repeat_budget budget({.ratio = 0.1, .reserve = 0});
   for (int i = 0; i < 10000; ++i) {
     budget.OnRequest(kStart + milliseconds(i));
@@ -31,8 +32,8 @@
   EXPECT_FALSE(budget.TrySpend(later));
 }
 
-// Whatever comes when: no span of the window's length has more repeats than the
-// reserve and its part of the requests of the window before the last of them.
+// For any schedule, no window has more repeats than the reserve plus its ratio
+// of the requests of the window that ends with the last repeat.
 RC_GTEST_PROP(RepeatBudgetTest, NoSpanHasMoreRepeatsThanAllowed, ()) {
   const repeat_budget_options options{
       .window = milliseconds(1000), .ratio = 0.2, .reserve = 3};
--- a/tests/reserve_share_test.cc
+++ b/tests/reserve_share_test.cc
@@ -1,5 +1,5 @@
-// One daemon's part of the reserve for repeats, while the list of daemons grows
-// and shrinks.
+// One daemon's share of the repeat reserve, while the list of daemons grows and
+// shrinks.
 #include "include/retry/reserve_share.h"
 
 #include <gtest/gtest.h>
@@ -31,10 +31,10 @@
             reserve_share::kUsableFraction / 2);
 }
 
-// All daemons start, and their targets register one after the other. Two
-// services then fail for everybody. Each daemon had taken its part by the one
-// or two daemons that it knew at first, and the failing services got eight
-// times the reserve on top of their load.
+// All daemons start, and their targets register one by one. Two services then
+// fail for all callers. Each daemon had derived its share from the one or two
+// daemons that it knew at first, and the failing services got eight times the
+// reserve on top of their load.
 TEST(ReserveShareTest, DaemonsThatRegisterOneByOneShareOneReserve) {
   constexpr std::size_t kDaemons = 16;
   std::vector<reserve_share> shares(kDaemons, reserve_share(kWindow));
@@ -56,8 +56,8 @@
   EXPECT_LE(spent, kReserve);
 }
 
-// Whatever lists come when: a daemon's part never exceeds what the longest list
-// of the window gives it.
+// For any sequence of lists, a daemon's share never exceeds the one given by
+// the longest list of the window.
 RC_GTEST_PROP(ReserveShareTest, TheLongestListOfTheWindowCounts, ()) {
   struct note {
     std::size_t daemons;
--- a/tests/route_table_test.cc
+++ b/tests/route_table_test.cc
@@ -1,4 +1,4 @@
-// Routes by host and prefix, and the division of their requests.
+// Routes by host and prefix, and weighted splits of their requests.
 #include "include/route/route_table.h"
 
 #include <gtest/gtest.h>
@@ -60,13 +60,13 @@
   EXPECT_EQ(NameOf(table.Find("a.example", "/x/1?to=/x/y/")), "x");
 }
 
-TEST_F(route_table_test, NonsenseMatchesNothing) {
+TEST_F(route_table_test, InvalidPathsMatchNothing) {
   const route_table table = Table();
   EXPECT_EQ(NameOf(table.Find("a.example", "")), "none");
   EXPECT_EQ(NameOf(table.Find("a.example", "*")), "none");
 }
 
-TEST_F(route_table_test, RefusesWhatIsAmbiguousOrGoesNowhere) {
+TEST_F(route_table_test, RefusesAmbiguousRoutesAndRoutesWithoutDestination) {
   std::string problem;
   EXPECT_FALSE(route_table::Make(
       {RouteTo("1", "a", "/x/"), RouteTo("2", "A", "/x/")}, &problem));
@@ -79,8 +79,8 @@
 }
 
 // Parts of 90 and 10. A random choice gives the small part between 12 and 28 of
-// 200 requests; people who check a new version by a tenth of the requests see
-// far too many or too few.
+// 200 requests; people who test a new version with a tenth of the requests
+// would see far too many or too few.
 TEST(WeightedSplitTest, EachSpanOfRequestsHasTheSharesOfTheWeights) {
   const std::vector<route_part> parts = {{.service = "old", .weight = 90},
                                          {.service = "new", .weight = 10}};
@@ -95,9 +95,9 @@
   }
 }
 
-// Twelve daemons that all began with the large part would give the small one
-// nothing of the first requests.
-TEST(WeightedSplitTest, SplitsBeginAtDifferentPlaces) {
+// If twelve daemons all started with the large part, the small one would get
+// none of the first requests.
+TEST(WeightedSplitTest, SplitsStartAtDifferentPositions) {
   const std::vector<route_part> parts = {{.service = "old", .weight = 90},
                                          {.service = "new", .weight = 10}};
   int to_new = 0;
--- a/tests/send_feasibility_test.cc
+++ b/tests/send_feasibility_test.cc
@@ -1,4 +1,4 @@
-// Which requests are not sent any more for want of time.
+// Requests that are not sent for lack of time.
 #include "include/retry/send_feasibility.h"
 
 #include <gtest/gtest.h>
@@ -8,31 +8,32 @@
 
 const time_point kStart{seconds(1000)};
 
-// In an overload targets answer 504 a moment before the deadline, and each such
+// In an overload targets answer 504 just before the deadline, and each such
 // request was sent to three more targets with two milliseconds left (log:
-// sent_again left_ms=2, then deadline_passed). They did no good there and used
-// up the bound on repeats.
-TEST(SendFeasibilityTest, WhatCannotEndInTimeIsNotSent) {
+// sent_again left_ms=2, then deadline_passed). These sends couldn't succeed and
+// used up the repeat budget.
+TEST(SendFeasibilityTest, RequestsThatCannotEndInTimeAreNotSent) {
   send_feasibility feasibility;
   feasibility.OnCompleted(0, milliseconds(40), kStart);
   feasibility.OnCompleted(0, milliseconds(15), kStart);
   feasibility.OnCompleted(0, milliseconds(90), kStart);
   EXPECT_TRUE(feasibility.IsInfeasible(0, milliseconds(2), kStart));
   EXPECT_TRUE(feasibility.IsInfeasible(0, milliseconds(7), kStart));
-  // It could end in time: nothing says that 15 ms are the least it can take.
+  // It could end in time: 15 ms is the shortest observed run, not a lower
+  // bound.
   EXPECT_FALSE(feasibility.IsInfeasible(0, milliseconds(8), kStart));
   EXPECT_FALSE(feasibility.IsInfeasible(0, milliseconds(100), kStart));
 }
 
-TEST(SendFeasibilityTest, KindsAreToldApart) {
+TEST(SendFeasibilityTest, KindsAreIndependent) {
   send_feasibility feasibility;
   feasibility.OnCompleted(0, milliseconds(600), kStart);
   EXPECT_TRUE(feasibility.IsInfeasible(0, milliseconds(100), kStart));
   EXPECT_FALSE(feasibility.IsInfeasible(1, milliseconds(100), kStart));
 }
 
-// Of a kind that nothing is known of, or not any more, everything is sent.
-TEST(SendFeasibilityTest, WhatWasLongAgoSaysNothing) {
+// Requests of a kind without recent runs are always sent.
+TEST(SendFeasibilityTest, OldRunsAreIgnored) {
   send_feasibility feasibility;
   EXPECT_FALSE(feasibility.IsInfeasible(0, milliseconds(0), kStart));
   feasibility.OnCompleted(0, milliseconds(600), kStart);
--- a/tests/target_wait_test.cc
+++ b/tests/target_wait_test.cc
@@ -1,4 +1,4 @@
-// How long a request looks for a target before it is refused.
+// How long a request waits for an available target before it is refused.
 #include "include/retry/target_wait.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
           .why = why};
 }
 
-// Looks until it is refused; returns how long that took.
+// Repeats the look-up until the request is refused; returns the time waited.
 milliseconds Waits(const target_search& search) {
   milliseconds waited{0};
   while (const auto pause = NextLookupDelay(search, kStart + waited)) {
@@ -24,35 +24,35 @@
   return waited;
 }
 
-// The connection to one daemon broke 44 ms ago, the only other daemon is
-// stopping. A request was told that nobody is there and to come back in 50 ms,
-// though it had 2.9 s left (lines: answer why=not_ready heard=no, then answer
-// why=draining). Both gaps end by themselves.
-TEST(TargetWaitTest, ARequestThatFoundNobodyLooksAgain) {
+// The connection to one daemon broke 44 ms ago and the only other daemon is
+// stopping. A request was refused for lack of a target and asked to retry in 50
+// ms, though it had 2.9 s left (log: answer why=not_ready heard=no, then answer
+// why=draining). Both gaps are temporary.
+TEST(TargetWaitTest, ARequestWithoutAvailableTargetIsLookedUpAgain) {
   for (const reason why : {reason::kNotReady, reason::kDraining,
                            reason::kNoTarget, reason::kWrongTarget}) {
     EXPECT_TRUE(NextLookupDelay(Search(why), kStart).has_value());
   }
 }
 
-// A service is gone for good. Its callers should hear of it while they have
-// most of their time left.
+// A service is permanently unavailable. Its callers should be refused while
+// they have most of their time left.
 TEST(TargetWaitTest, TheWaitIsASmallPartOfTheObjective) {
   const milliseconds waited = Waits(Search(reason::kNoTarget));
   EXPECT_GE(waited, 2 * kLookupRetryInterval);
   EXPECT_LE(waited, milliseconds(1000) / kMaxWaitDivisor);
 }
 
-// All targets are full. Requests that wait here would come back to them as more
-// load, and the less important ones would be held for nothing.
-TEST(TargetWaitTest, WantOfRoomIsToldAtOnce) {
+// All targets are full. Waiting requests would return to them as additional
+// load, and the less important ones would be delayed for nothing.
+TEST(TargetWaitTest, LackOfCapacityIsReportedAtOnce) {
   for (const reason why : {reason::kOverload, reason::kQueueFull,
                            reason::kWasted, reason::kQuarantined}) {
     EXPECT_FALSE(NextLookupDelay(Search(why), kStart).has_value());
   }
 }
 
-TEST(TargetWaitTest, NothingWaitsIntoItsDeadline) {
+TEST(TargetWaitTest, NothingWaitsPastItsDeadline) {
   target_search search = Search(reason::kNoTarget);
   search.deadline = kStart + kLookupRetryInterval;
   EXPECT_FALSE(NextLookupDelay(search, kStart).has_value());
