--- a/include/retry/target_wait.h
+++ b/include/retry/target_wait.h
@@ -10,12 +10,12 @@
 
 namespace pistachioweir {
 
-// When a connection to another daemon breaks, the only other target may be one
-// whose daemon is stopping until the connection is re-established. Such a gap
-// lasts some tens of milliseconds, but a request that arrives in it finds no
-// target. If refused at once, its caller would spend one of its few retries and
-// a round trip on a gap that is shorter than that. So the target look-up is
-// repeated for a short time.
+// While a broken connection to another daemon is re-established, the only other
+// target may be one whose daemon is stopping. Such a gap lasts some tens of
+// milliseconds, but a request that arrives in it finds no target. If refused at
+// once, its caller would spend one of its few retries and a round trip on a gap
+// that is shorter than that. So the target look-up is repeated for a short
+// time.
 //
 // This applies to normal load with a single fault. Where a service is
 // permanently unavailable or has no capacity, waiting is useless: requests
--- a/include/route/balancer.h
+++ b/include/route/balancer.h
@@ -36,7 +36,7 @@
 struct balancer_options {
   std::string data_centre;  // Of the daemon that makes the calls.
   placement_policy policy = placement_policy::kPowerOfTwo;
-  bool use_levels = true;    // Refuse at the entrance.
+  bool use_levels = true;    // Refuse by targets' levels.
   bool use_ejection = true;  // Eject targets that fail, slow start.
   // Methods of the called service, to allocate their state up front; more can
   // follow.
@@ -79,7 +79,7 @@
 
   std::array<target_ref, kMax> refs{};
   std::uint32_t count = 0;        // At most kMax.
-  std::uint32_t unavailable = 0;  // Of those, unavailable ones.
+  std::uint32_t unavailable = 0;  // Included in `count`.
 };
 
 struct placement_request {
--- a/tests/adaptive_throttle_test.cc
+++ b/tests/adaptive_throttle_test.cc
@@ -58,7 +58,7 @@
   std::mt19937 random(7);
   std::uniform_real_distribution<double> chance(0, 1);
   int served = 0;
-  int asked = 0;
+  int offered = 0;
   for (int step = 0; step < kSteps; ++step) {
     const time_point now = kStart + milliseconds(50 * step);
     int admitted = 0;
@@ -76,9 +76,9 @@
       throttle.OnResult(succeeded, now);
       served += step >= kSteps / 2 && succeeded ? 1 : 0;
     }
-    asked += step >= kSteps / 2 ? kRequestsPerStep : 0;
+    offered += step >= kSteps / 2 ? kRequestsPerStep : 0;
   }
-  return 100.0 * served / asked;
+  return 100.0 * served / offered;
 }
 
 // A service far downstream has capacity for two thirds of the calls that it
@@ -126,9 +126,9 @@
       }
     }
   }
-  constexpr int kAsked = kEachPerStep * kSteps / 2;
-  EXPECT_GT(served[0], kAsked * 85 / 100);
-  EXPECT_GT(served[1], kAsked * 35 / 100);
+  constexpr int kOffered = kEachPerStep * kSteps / 2;
+  EXPECT_GT(served[0], kOffered * 85 / 100);
+  EXPECT_GT(served[1], kOffered * 35 / 100);
 }
 
 // Queueing times increase at a downstream service. A kind that has failed under
--- a/tests/target_wait_test.cc
+++ b/tests/target_wait_test.cc
@@ -16,7 +16,7 @@
 }
 
 // Repeats the look-up until the request is refused; returns the time waited.
-milliseconds Waits(const target_search& search) {
+milliseconds TotalWait(const target_search& search) {
   milliseconds waited{0};
   while (const auto pause = NextLookupDelay(search, kStart + waited)) {
     waited += *pause;
@@ -38,7 +38,7 @@
 // A service is permanently unavailable. Its callers should be refused while
 // they have most of their time left.
 TEST(TargetWaitTest, TheWaitIsASmallPartOfTheObjective) {
-  const milliseconds waited = Waits(Search(reason::kNoTarget));
+  const milliseconds waited = TotalWait(Search(reason::kNoTarget));
   EXPECT_GE(waited, 2 * kLookupRetryInterval);
   EXPECT_LE(waited, milliseconds(1000) / kMaxWaitDivisor);
 }
