--- a/include/once/attempt_table.h
+++ b/include/once/attempt_table.h
@@ -51,7 +51,7 @@
   // An attempt came. Never kStart twice for one key.
   attempt_verdict Begin(const attempt_key& attempt);
   // Its sender asks what became of it. Never kStart.
-  attempt_verdict Ask(const attempt_key& attempt);
+  attempt_verdict Query(const attempt_key& attempt);
   // The attempt has its answer, which is kept until the sender has settled it.
   // False if nobody will ask for it any more.
   bool Finish(const attempt_key& attempt, stored_answer answer);
@@ -92,7 +92,7 @@
     time_point disconnected_at;
   };
 
-  void Drop(const record& dropped);
+  void ReleaseAnswer(const record& dropped);
 
   std::unordered_map<std::uint64_t, sender> senders_;  // By incarnation.
   std::size_t bytes_ = 0;
--- a/include/once/executor_table.h
+++ b/include/once/executor_table.h
@@ -147,12 +147,12 @@
   // Moves the epoch on; time that runs backwards is taken for standing still.
   void AdvanceTo(time_point now);
   // Whether this table can't judge the attempt; counted.
-  bool IsForOther(const execution_binding& attempt);
-  bool IsOutdated(const execution_binding& attempt);
+  bool IsForOtherIncarnation(const execution_binding& attempt);
+  bool IsEpochExpired(const execution_binding& attempt);
   [[nodiscard]] bool IsAcceptable(epoch_id epoch) const;
   record& Insert(const record_key& key);
-  void Remember(const record_key& key, record& kept, const outcome& result);
-  void Forget(const record_key& key);
+  void StoreResult(const record_key& key, record& kept, const outcome& result);
+  void EraseRecord(const record_key& key);
   void DiscardOldAnswers();
   void DropOldestEpoch();
 
--- a/include/once/key_home.h
+++ b/include/once/key_home.h
@@ -44,7 +44,7 @@
   // copy costs no execution; the bound keeps silence from becoming a stream.
   std::uint32_t max_sends = 3;
   // Pause before an attempt goes again to an executor whose table is full.
-  milliseconds busy_pause{20};
+  milliseconds busy_retry_delay{20};
 };
 
 // Keys, or why there are none.
@@ -182,7 +182,7 @@
   home_action DeadlinePassed(const idempotency_key& key, time_point now);
 
   // A caller went away. Cancels the execution if nobody waits any more.
-  home_action Leave(const idempotency_key& key, waiter_id waiter);
+  home_action RemoveWaiter(const idempotency_key& key, waiter_id waiter);
 
   // Whether the key's request is under way and somebody may still be told.
   [[nodiscard]] bool IsRunning(const idempotency_key& key) {
@@ -225,8 +225,8 @@
     std::uint32_t attempt = 0;
     std::uint32_t sends = 0;  // Of this attempt, since a caller last asked.
     bool only_copy = true;    // No other copy of this attempt was ever sent.
-    std::uint32_t lent = 0;   // Credit that went with this attempt.
-    daemon_ref target;        // With kSent and kGaveUp.
+    std::uint32_t lent_credit = 0;  // Credit that went with this attempt.
+    daemon_ref target;              // With kSent and kGaveUp.
     epoch_id epoch{};
     std::vector<vm_id> tried;  // Definitely not executed there.
     std::vector<waiter_id> waiters;
@@ -271,29 +271,31 @@
 
   // Moves time on; time that runs backwards is taken for standing still.
   void AdvanceTo(time_point now);
-  bool MakeRoom(std::uint32_t count);
+  bool EnsureCapacity(std::uint32_t count);
   void Insert(std::uint64_t sequence,
               caller_map::value_type& caller,
               milliseconds lifetime);
   void Erase(std::uint64_t sequence);
 
   // What can be said of a key without a record.
-  outcome JudgeMissing(const idempotency_key& key) const;
-  static finish_call Tell(const begin_request& request, const outcome& result);
+  outcome OutcomeOfMissing(const idempotency_key& key) const;
+  static finish_call MakeFinishCall(const begin_request& request,
+                                    const outcome& result);
   home_action BeginIssued(record_entry& entry, const begin_request& request);
   home_action Join(record_entry& entry, const begin_request& request);
-  home_action AskAgain(record_entry& entry, const begin_request& request);
+  home_action ResendForResult(record_entry& entry,
+                              const begin_request& request);
 
   home_action Place(record_entry& entry);
-  home_action MoveOn(record_entry& entry, const outcome& refusal);
-  home_action SendAgain(record_entry& entry, milliseconds delay, reason why);
+  home_action TryNextTarget(record_entry& entry, const outcome& refusal);
+  home_action Resend(record_entry& entry, milliseconds delay, reason why);
   home_action GiveUp(record_entry& entry, reason why, bool cancel);
   home_action Settle(record_entry& entry, const outcome& result);
-  void KeepResult(record_entry& entry, const outcome& result);
+  void StoreResult(record_entry& entry, const outcome& result);
   void MarkSettled(record_entry& entry);
   void ReleaseCaller(key_record& record);
   void DiscardOldAnswers();
-  void Compact();
+  void CompactQueues();
   [[nodiscard]] execution_binding BindingOf(const record_entry& entry) const;
 
   key_home_options options_;
--- a/include/once/sequence_set.h
+++ b/include/once/sequence_set.h
@@ -18,7 +18,7 @@
       : words_((window + kWordBits - 1) / kWordBits) {}
 
   // Opens the next number, unmarked, and returns it.
-  std::uint64_t Open() {
+  std::uint64_t Append() {
     const std::uint64_t number = end_++;
     Word(number) &= ~Bit(number);
     return number;
--- a/src/daemon/home_role.cc
+++ b/src/daemon/home_role.cc
@@ -140,7 +140,7 @@
   const auto number = static_cast<std::uint64_t>(leaving->id);
   waiters_.With(number, [&](waiter_map& waiters) { waiters.erase(number); });
   CarryOut(On(leaving->key, [&](key_home& home) {
-    return home.Leave(leaving->key, leaving->id);
+    return home.RemoveWaiter(leaving->key, leaving->id);
   }));
 }
 
--- a/src/once/executor_table_impl.h
+++ b/src/once/executor_table_impl.h
@@ -20,10 +20,10 @@
     const record_key& key) const {
   // Incarnations are random already; the multiplier (2^64 divided by the golden
   // ratio) spreads neighbouring sequence numbers over all bits.
-  constexpr std::uint64_t kSpread = 0x9e3779b97f4a7c15ULL;
+  constexpr std::uint64_t kHashMultiplier = 0x9e3779b97f4a7c15ULL;
   std::uint64_t hash = static_cast<std::uint64_t>(key.home);
-  hash = (hash ^ key.sequence) * kSpread;
-  hash = (hash ^ (hash >> 32) ^ key.attempt) * kSpread;
+  hash = (hash ^ key.sequence) * kHashMultiplier;
+  hash = (hash ^ (hash >> 32) ^ key.attempt) * kHashMultiplier;
   return hash ^ (hash >> 32);
 }
 
@@ -95,7 +95,7 @@
 }
 
 template <typename Guards>
-bool basic_executor_table<Guards>::IsForOther(
+bool basic_executor_table<Guards>::IsForOtherIncarnation(
     const execution_binding& attempt) {
   // Guard EXECUTOR_INCARNATION in spec/at_most_once.pml. An attempt that was
   // sent to an earlier start of this daemon may have run there, where its
@@ -108,7 +108,7 @@
 }
 
 template <typename Guards>
-bool basic_executor_table<Guards>::IsOutdated(
+bool basic_executor_table<Guards>::IsEpochExpired(
     const execution_binding& attempt) {
   // Guard EXECUTOR_EPOCH in spec/at_most_once.pml. A copy that was under way
   // for longer than records are kept would find none and run again.
@@ -125,7 +125,7 @@
     waiter_id waiter,
     time_point now) {
   AdvanceTo(now);
-  if (IsForOther(attempt)) {
+  if (IsForOtherIncarnation(attempt)) {
     return {.step = attempt_step::kAnswer, .result = Unknown(reason::kStale)};
   }
   const record_key key = KeyOf(attempt);
@@ -147,7 +147,7 @@
     first.waiters.push_back(waiter);
     return {.step = attempt_step::kWait, .result = {}};
   }
-  if (IsOutdated(attempt)) {
+  if (IsEpochExpired(attempt)) {
     return {.step = attempt_step::kAnswer, .result = Unknown(reason::kStale)};
   }
   // Not definite: a table that is full now may have had room for an earlier
@@ -159,7 +159,7 @@
   }
   ++counters_.admitted;
   if (!Guards::kExecutorDedup) {
-    Forget(key);
+    EraseRecord(key);
   }
   Insert(key).waiters.push_back(waiter);
   return {.step = attempt_step::kAdmit, .result = {}};
@@ -196,13 +196,13 @@
                             .result = result};
   kept.waiters.clear();
   if (!Guards::kRefusalTombstone && result.kind == outcome_kind::kNotExecuted) {
-    Forget(key);
+    EraseRecord(key);
     return finished;
   }
   // Guard REFUSAL_TOMBSTONE in spec/at_most_once.pml: a refusal is kept like
   // any other result. The home moves on to another executor after it, and a
   // late copy of this attempt would run here as well.
-  Remember(key, kept, result);
+  StoreResult(key, kept, result);
   return finished;
 }
 
@@ -218,7 +218,7 @@
 
 // Only for tables without a guard; a real one forgets whole epochs.
 template <typename Guards>
-void basic_executor_table<Guards>::Forget(const record_key& key) {
+void basic_executor_table<Guards>::EraseRecord(const record_key& key) {
   const auto found = records_.find(key);
   if (found == records_.end()) {
     return;
@@ -231,9 +231,9 @@
 }
 
 template <typename Guards>
-void basic_executor_table<Guards>::Remember(const record_key& key,
-                                            record& kept,
-                                            const outcome& result) {
+void basic_executor_table<Guards>::StoreResult(const record_key& key,
+                                               record& kept,
+                                               const outcome& result) {
   kept.state = record_state::kFinished;
   kept.result = result;
   if (result.reply.body.empty()) {
@@ -266,7 +266,7 @@
     const execution_binding& attempt,
     time_point now) {
   AdvanceTo(now);
-  if (IsForOther(attempt)) {
+  if (IsForOtherIncarnation(attempt)) {
     return {.result = Unknown(reason::kStale), .running = false, .waiters = {}};
   }
   const record_key key = KeyOf(attempt);
@@ -287,10 +287,10 @@
                              .running = false,
                              .waiters = std::move(kept.waiters)};
     kept.waiters.clear();
-    Remember(key, kept, cancelled);
+    StoreResult(key, kept, cancelled);
     return decision;
   }
-  if (IsOutdated(attempt)) {
+  if (IsEpochExpired(attempt)) {
     return {.result = Unknown(reason::kStale), .running = false, .waiters = {}};
   }
   if (records_.size() >= options_.max_records) {
@@ -302,7 +302,7 @@
   // Guard CANCEL_TOMBSTONE in spec/at_most_once.pml. The cancel has overtaken
   // its attempt, which must find that it was cancelled when it comes.
   if (Guards::kCancelTombstone) {
-    Remember(key, Insert(key), NotExecuted(reason::kCancelled));
+    StoreResult(key, Insert(key), NotExecuted(reason::kCancelled));
   }
   return {.result = NotExecuted(reason::kCancelled),
           .running = false,
--- a/src/once/key_codec.cc
+++ b/src/once/key_codec.cc
@@ -52,9 +52,9 @@
   HMAC(EVP_sha256(), fleet_key.data(), static_cast<int>(fleet_key.size()),
        reinterpret_cast<const unsigned char*>(text.data()), text.size(),
        digest.data(), &size);
-  tag cut{};
-  std::copy_n(digest.begin(), kTagBytes, cut.begin());
-  return cut;
+  tag truncated{};
+  std::copy_n(digest.begin(), kTagBytes, truncated.begin());
+  return truncated;
 }
 
 std::string ToBase64(std::string_view bytes) {
@@ -125,14 +125,15 @@
   if (!bytes || bytes->size() <= kTagBytes) {
     return std::nullopt;
   }
-  const std::string_view whole(*bytes);
-  const std::string_view payload = whole.substr(0, whole.size() - kTagBytes);
-  const std::string_view seal = whole.substr(payload.size());
+  const std::string_view signed_bytes(*bytes);
+  const std::string_view payload =
+      signed_bytes.substr(0, signed_bytes.size() - kTagBytes);
+  const std::string_view seal = signed_bytes.substr(payload.size());
   for (const std::string& fleet_key : fleet_keys_) {
-    const tag right = Sign(fleet_key, payload, scope);
+    const tag expected = Sign(fleet_key, payload, scope);
     // Takes the same time wherever the first difference is, so that a forger
     // can't find the tag byte by byte.
-    if (CRYPTO_memcmp(right.data(), seal.data(), kTagBytes) == 0) {
+    if (CRYPTO_memcmp(expected.data(), seal.data(), kTagBytes) == 0) {
       return ReadPayload(payload);
     }
   }
--- a/src/once/key_home_impl.h
+++ b/src/once/key_home_impl.h
@@ -12,7 +12,7 @@
 
 // Whether another target may do better than the one that refused for `why`.
 // What is wrong with the request itself is wrong everywhere.
-inline bool IsWorthMoving(reason why) {
+inline bool IsRetryableElsewhere(reason why) {
   switch (why) {
     case reason::kNotReady:
     case reason::kDraining:
@@ -87,15 +87,15 @@
     return {.keys = {}, .refusal = reason::kDraining};
   }
   const auto found = callers_.find(caller);
-  const std::size_t held = found == callers_.end() ? 0 : found->second;
+  const std::size_t outstanding = found == callers_.end() ? 0 : found->second;
   issued_keys issued;
   while (issued.keys.size() < count &&
-         held + issued.keys.size() < options_.max_keys_per_caller &&
-         MakeRoom(1)) {
+         outstanding + issued.keys.size() < options_.max_keys_per_caller &&
+         EnsureCapacity(1)) {
     const std::uint64_t sequence =
-        begun_.Open() * options_.shards + options_.shard;
-    auto& holder = *callers_.try_emplace(caller, 0).first;
-    Insert(sequence, holder, lifetime);
+        begun_.Append() * options_.shards + options_.shard;
+    auto& caller_entry = *callers_.try_emplace(caller, 0).first;
+    Insert(sequence, caller_entry, lifetime);
     issued.keys.push_back(KeyOf(sequence));
   }
   counters_.issued += issued.keys.size();
@@ -110,7 +110,7 @@
 // one is asked about only after a lost answer. Whoever asks then is told
 // truthfully that the answer is gone.
 template <typename Guards>
-bool basic_key_home<Guards>::MakeRoom(std::uint32_t count) {
+bool basic_key_home<Guards>::EnsureCapacity(std::uint32_t count) {
   while (records_.size() + count > options_.max_keys && !settled_.empty()) {
     const std::uint64_t oldest = settled_.front();
     settled_.pop_front();
@@ -132,12 +132,12 @@
 void basic_key_home<Guards>::Insert(std::uint64_t sequence,
                                     typename caller_map::value_type& caller,
                                     milliseconds lifetime) {
-  key_record& fresh = records_[sequence];
-  fresh.caller = &caller;
-  fresh.lifetime = lifetime;
-  fresh.expires = now_ + lifetime;
+  key_record& added = records_[sequence];
+  added.caller = &caller;
+  added.lifetime = lifetime;
+  added.expires = now_ + lifetime;
   ++caller.second;
-  expiries_.push({.at = fresh.expires, .sequence = sequence});
+  expiries_.push({.at = added.expires, .sequence = sequence});
 }
 
 template <typename Guards>
@@ -146,16 +146,17 @@
   if (found == records_.end()) {
     return;
   }
-  key_record& gone = found->second;
-  if (gone.result != nullptr) {
-    answer_bytes_ -= gone.result->reply.body.size();
+  key_record& record = found->second;
+  if (record.result != nullptr) {
+    answer_bytes_ -= record.result->reply.body.size();
   }
-  ReleaseCaller(gone);
+  ReleaseCaller(record);
   records_.erase(found);
 }
 
 template <typename Guards>
-outcome basic_key_home<Guards>::JudgeMissing(const idempotency_key& key) const {
+outcome basic_key_home<Guards>::OutcomeOfMissing(
+    const idempotency_key& key) const {
   if (key.home.incarnation != options_.self.incarnation) {
     return Unknown(reason::kHomeUnreachable);
   }
@@ -174,8 +175,8 @@
 }
 
 template <typename Guards>
-finish_call basic_key_home<Guards>::Tell(const begin_request& request,
-                                         const outcome& result) {
+finish_call basic_key_home<Guards>::MakeFinishCall(const begin_request& request,
+                                                   const outcome& result) {
   return {.key = request.key,
           .waiters = {request.waiter},
           .result = result,
@@ -188,13 +189,13 @@
   AdvanceTo(now);
   record_entry* entry = Find(request.key);
   if (entry == nullptr) {
-    const outcome judged = JudgeMissing(request.key);
+    const outcome judged = OutcomeOfMissing(request.key);
     const bool forgotten =
         judged.why == reason::kAnswerDiscarded && !Guards::kForgottenKey;
     const bool foreign =
         judged.why == reason::kHomeUnreachable && !Guards::kHomeIncarnation;
     if (!forgotten && !foreign) {
-      return Tell(request, judged);
+      return MakeFinishCall(request, judged);
     }
     // Only without one of these guards: takes the key for a fresh one.
     Insert(request.key.sequence, *callers_.try_emplace("", 0).first,
@@ -204,7 +205,7 @@
   key_record& record = entry->second;
   if (record.state == key_state::kIssued) {
     if (now_ >= record.expires) {
-      return Tell(request, NotExecuted(reason::kKeyExpired));
+      return MakeFinishCall(request, NotExecuted(reason::kKeyExpired));
     }
     return BeginIssued(*entry, request);
   }
@@ -228,7 +229,7 @@
                                          const begin_request& request) {
   key_record& record = entry.second;
   if (record.fingerprint != request.fingerprint) {
-    return Tell(request, NotExecuted(reason::kBadKey));
+    return MakeFinishCall(request, NotExecuted(reason::kBadKey));
   }
   if (record.state == key_state::kFinished) {
     // Guard FINAL_REFUSAL in spec/at_most_once.pml. The caller that was told
@@ -240,10 +241,10 @@
       return BeginIssued(entry, request);
     }
     ++counters_.replayed;
-    return Tell(request, *record.result);
+    return MakeFinishCall(request, *record.result);
   }
   if (record.state == key_state::kGaveUp) {
-    return AskAgain(entry, request);
+    return ResendForResult(entry, request);
   }
   // Guard HOME_JOIN in spec/at_most_once.pml. Callers send again after silence,
   // often while the first copy still runs.
@@ -251,7 +252,7 @@
     return BeginIssued(entry, request);
   }
   if (record.running->waiters.size() >= options_.max_waiters) {
-    return Tell(request, Unknown(reason::kTimeout));
+    return MakeFinishCall(request, Unknown(reason::kTimeout));
   }
   ++counters_.joined;
   record.running->waiters.push_back(request.waiter);
@@ -262,12 +263,13 @@
 // of the same attempt fetches the result from the executor, or runs there if no
 // earlier copy came through; either way there is one execution.
 template <typename Guards>
-home_action basic_key_home<Guards>::AskAgain(record_entry& entry,
-                                             const begin_request& request) {
+home_action basic_key_home<Guards>::ResendForResult(
+    record_entry& entry,
+    const begin_request& request) {
   key_record& record = entry.second;
   if (record.result->why == reason::kStale) {
     ++counters_.replayed;
-    return Tell(request, *record.result);
+    return MakeFinishCall(request, *record.result);
   }
   ++counters_.resent;
   running_execution& running = *record.running;
@@ -290,16 +292,16 @@
   AdvanceTo(now);
   record_entry* entry = Find(request.key);
   if (entry == nullptr) {
-    return Tell(request, JudgeMissing(request.key));
+    return MakeFinishCall(request, OutcomeOfMissing(request.key));
   }
   if (entry->second.state != key_state::kIssued) {
     return Join(*entry, request);
   }
   entry->second.fingerprint = request.fingerprint;
   begun_.Mark(IndexOf(entry->first));
-  finish_call told = Tell(request, refusal);
-  KeepResult(*entry, refusal);
-  return told;
+  finish_call finish = MakeFinishCall(request, refusal);
+  StoreResult(*entry, refusal);
+  return finish;
 }
 
 template <typename Guards>
@@ -328,10 +330,10 @@
   running.epoch = epoch;
   running.sends = 1;
   running.only_copy = true;
-  running.lent = running.ledger.Lend();
+  running.lent_credit = running.ledger.Lend();
   return send_attempt{.binding = BindingOf(*entry),
                       .target = target.vm,
-                      .credit = running.lent,
+                      .credit = running.lent_credit,
                       .delay = milliseconds(0)};
 }
 
@@ -373,8 +375,8 @@
   }
   const outcome& result = answer.result;
   if (result.kind == outcome_kind::kCompleted) {
-    running.ledger.Return(running.lent, answer.unspent_credit);
-    running.lent = 0;
+    running.ledger.Return(running.lent_credit, answer.unspent_credit);
+    running.lent_credit = 0;
     return Settle(*entry, result);
   }
   // Guard STALE_NOT_DEFINITE in spec/at_most_once.pml: an earlier copy may have
@@ -388,12 +390,12 @@
                         (stale && !Guards::kStaleNotDefinite) ||
                         (busy && !Guards::kBusyNotDefinite);
   if (definite) {
-    running.ledger.Return(running.lent, answer.unspent_credit);
-    running.lent = 0;
-    return MoveOn(*entry, NotExecuted(result.why, result.retry_after));
+    running.ledger.Return(running.lent_credit, answer.unspent_credit);
+    running.lent_credit = 0;
+    return TryNextTarget(*entry, NotExecuted(result.why, result.retry_after));
   }
   if (busy) {
-    return SendAgain(*entry, options_.busy_pause, reason::kTableFull);
+    return Resend(*entry, options_.busy_retry_delay, reason::kTableFull);
   }
   return GiveUp(*entry, result.why, false);
 }
@@ -414,9 +416,9 @@
   if (!definite || entry->second.state == key_state::kGaveUp) {
     return AttemptLost(key, attempt, now);
   }
-  running.ledger.Return(running.lent, running.lent);
-  running.lent = 0;
-  return MoveOn(*entry, NotExecuted(reason::kConnectionLost));
+  running.ledger.Return(running.lent_credit, running.lent_credit);
+  running.lent_credit = 0;
+  return TryNextTarget(*entry, NotExecuted(reason::kConnectionLost));
 }
 
 template <typename Guards>
@@ -431,17 +433,17 @@
   // Guard MOVE_ON_DEFINITE in spec/at_most_once.pml. Silence doesn't tell
   // whether the attempt runs, ran, or is still on its way.
   if (!Guards::kMoveOnDefinite) {
-    return MoveOn(*entry, NotExecuted(reason::kConnectionLost));
+    return TryNextTarget(*entry, NotExecuted(reason::kConnectionLost));
   }
-  return SendAgain(*entry, milliseconds(0), reason::kConnectionLost);
+  return Resend(*entry, milliseconds(0), reason::kConnectionLost);
 }
 
 // A copy goes to the same executor, which runs at most one of them. That is the
 // way out of a connection that has gone silent.
 template <typename Guards>
-home_action basic_key_home<Guards>::SendAgain(record_entry& entry,
-                                              milliseconds delay,
-                                              reason why) {
+home_action basic_key_home<Guards>::Resend(record_entry& entry,
+                                           milliseconds delay,
+                                           reason why) {
   running_execution& running = *entry.second.running;
   if (entry.second.state == key_state::kGaveUp) {
     return no_action{};
@@ -454,17 +456,17 @@
   ++counters_.resent;
   return send_attempt{.binding = BindingOf(entry),
                       .target = running.target.vm,
-                      .credit = running.lent,
+                      .credit = running.lent_credit,
                       .delay = delay};
 }
 
 // The attempt definitely didn't run and never will.
 template <typename Guards>
-home_action basic_key_home<Guards>::MoveOn(record_entry& entry,
-                                           const outcome& refusal) {
+home_action basic_key_home<Guards>::TryNextTarget(record_entry& entry,
+                                                  const outcome& refusal) {
   running_execution& running = *entry.second.running;
   if (entry.second.state == key_state::kGaveUp || running.waiters.empty() ||
-      !IsWorthMoving(refusal.why) || !running.ledger.Spend()) {
+      !IsRetryableElsewhere(refusal.why) || !running.ledger.Spend()) {
     return Settle(entry, refusal);
   }
   ++counters_.moved;
@@ -511,8 +513,8 @@
 }
 
 template <typename Guards>
-home_action basic_key_home<Guards>::Leave(const idempotency_key& key,
-                                          waiter_id waiter) {
+home_action basic_key_home<Guards>::RemoveWaiter(const idempotency_key& key,
+                                                 waiter_id waiter) {
   record_entry* entry = Find(key);
   if (entry == nullptr || entry->second.running == nullptr) {
     return no_action{};
@@ -541,37 +543,37 @@
     return no_action{};
   }
   ++counters_.unknown;
-  finish_call told{.key = KeyOf(entry.first),
-                   .waiters = std::move(running.waiters),
-                   .result = Unknown(why),
-                   .cancel = std::nullopt};
+  finish_call finish{.key = KeyOf(entry.first),
+                     .waiters = std::move(running.waiters),
+                     .result = Unknown(why),
+                     .cancel = std::nullopt};
   running.waiters.clear();
-  running.ledger.Lose(running.lent);
-  running.lent = 0;
+  running.ledger.Lose(running.lent_credit);
+  running.lent_credit = 0;
   if (cancel) {
-    told.cancel =
+    finish.cancel =
         send_cancel{.binding = BindingOf(entry), .target = running.target.vm};
   }
   entry.second.state = key_state::kGaveUp;
-  entry.second.result = std::make_unique<outcome>(told.result);
+  entry.second.result = std::make_unique<outcome>(finish.result);
   MarkSettled(entry);
-  return told;
+  return finish;
 }
 
 template <typename Guards>
 home_action basic_key_home<Guards>::Settle(record_entry& entry,
                                            const outcome& result) {
-  finish_call told{.key = KeyOf(entry.first),
-                   .waiters = std::move(entry.second.running->waiters),
-                   .result = result,
-                   .cancel = std::nullopt};
-  KeepResult(entry, result);
-  return told;
+  finish_call finish{.key = KeyOf(entry.first),
+                     .waiters = std::move(entry.second.running->waiters),
+                     .result = result,
+                     .cancel = std::nullopt};
+  StoreResult(entry, result);
+  return finish;
 }
 
 template <typename Guards>
-void basic_key_home<Guards>::KeepResult(record_entry& entry,
-                                        const outcome& result) {
+void basic_key_home<Guards>::StoreResult(record_entry& entry,
+                                         const outcome& result) {
   key_record& record = entry.second;
   record.state = key_state::kFinished;
   record.running.reset();
@@ -598,9 +600,9 @@
 
 template <typename Guards>
 void basic_key_home<Guards>::ReleaseCaller(key_record& record) {
-  auto* const holder = std::exchange(record.caller, nullptr);
-  if (holder != nullptr && --holder->second == 0) {
-    callers_.erase(callers_.find(holder->first));
+  auto* const caller_entry = std::exchange(record.caller, nullptr);
+  if (caller_entry != nullptr && --caller_entry->second == 0) {
+    callers_.erase(callers_.find(caller_entry->first));
   }
 }
 
@@ -650,24 +652,24 @@
     }
     Erase(sequence);
   }
-  Compact();
+  CompactQueues();
 }
 
 // Evicted and expired keys leave their numbers in the queues. Under a flood of
 // short requests these would outgrow the records themselves.
 template <typename Guards>
-void basic_key_home<Guards>::Compact() {
-  const std::size_t most = 2 * records_.size() + 64;
-  const auto gone = [this](std::uint64_t sequence) {
+void basic_key_home<Guards>::CompactQueues() {
+  const std::size_t max_entries = 2 * records_.size() + 64;
+  const auto is_erased = [this](std::uint64_t sequence) {
     return !records_.contains(sequence);
   };
-  if (settled_.size() > most) {
-    std::erase_if(settled_, gone);
+  if (settled_.size() > max_entries) {
+    std::erase_if(settled_, is_erased);
   }
-  if (answered_.size() > most) {
-    std::erase_if(answered_, gone);
+  if (answered_.size() > max_entries) {
+    std::erase_if(answered_, is_erased);
   }
-  if (expiries_.size() > most) {
+  if (expiries_.size() > max_entries) {
     decltype(expiries_) kept;
     for (const auto& [sequence, record] : records_) {
       kept.push({.at = record.expires, .sequence = sequence});
--- a/src/peer/peer_server.cc
+++ b/src/peer/peer_server.cc
@@ -356,7 +356,7 @@
 
 void peer_server::OnAsk(session& from, std::uint64_t number) {
   const attempt_key attempt{.sender = from.sender(), .number = number};
-  const attempt_verdict verdict = attempts_.Ask(attempt);
+  const attempt_verdict verdict = attempts_.Query(attempt);
   LogEvent("attempt_asked_for",
            {{.name = "number", .value = std::to_string(number)},
             {.name = "verdict",
--- a/tests/at_most_once_property_test.cc
+++ b/tests/at_most_once_property_test.cc
@@ -51,14 +51,14 @@
 }
 
 template <typename Guards>
-std::optional<std::string> FirstBreach(
+std::optional<std::string> FirstViolation(
     const std::vector<network_step>& schedule,
     network_coverage* coverage = nullptr) {
   once_network<Guards> network;
   for (const network_step& step : schedule) {
     network.Run(step);
-    if (network.broken()) {
-      return network.broken();
+    if (network.violation()) {
+      return network.violation();
     }
   }
   if (coverage != nullptr) {
@@ -73,7 +73,7 @@
 // every answer is the request's own.
 RC_GTEST_PROP(AtMostOnceTest, HoldsUnderRandomFaults, ()) {
   const auto schedule = *AnySchedule();
-  RC_ASSERT(FirstBreach<all_guards>(schedule).value_or("") == "");
+  RC_ASSERT(FirstViolation<all_guards>(schedule).value_or("") == "");
 }
 
 // The schedules must get to what they are meant for, or the property above says
@@ -84,7 +84,7 @@
   const auto result = rc::detail::checkTestable(
       [&sum] {
         network_coverage once;
-        FirstBreach<all_guards>(*AnySchedule(), &once);
+        FirstViolation<all_guards>(*AnySchedule(), &once);
         sum.completed += once.completed;
         sum.not_executed += once.not_executed;
         sum.unknown += once.unknown;
@@ -117,7 +117,7 @@
   const auto result = rc::detail::checkTestable(
       [] {
         const auto schedule = *AnySchedule();
-        RC_ASSERT(!FirstBreach<Guards>(schedule));
+        RC_ASSERT(!FirstViolation<Guards>(schedule));
       },
       rc::detail::TestMetadata{.id = "without", .description = "a guard"},
       rc::detail::TestParams{
@@ -177,23 +177,23 @@
 template <typename Guards>
 class without_guard_test : public testing::Test {};
 
-using broken_variants = testing::Types<no_executor_incarnation,
-                                       no_executor_epoch,
-                                       no_executor_dedup,
-                                       no_cancel_tombstone,
-                                       no_refusal_tombstone,
-                                       no_start_check,
-                                       no_stale_not_definite,
-                                       no_busy_not_definite,
-                                       no_move_on_definite,
-                                       no_only_copy,
-                                       no_answer_incarnation,
-                                       no_home_join,
-                                       no_final_refusal,
-                                       no_home_incarnation,
-                                       no_forgotten_key,
-                                       no_home_has_last_word>;
-TYPED_TEST_SUITE(without_guard_test, broken_variants);
+using weakened_variants = testing::Types<no_executor_incarnation,
+                                         no_executor_epoch,
+                                         no_executor_dedup,
+                                         no_cancel_tombstone,
+                                         no_refusal_tombstone,
+                                         no_start_check,
+                                         no_stale_not_definite,
+                                         no_busy_not_definite,
+                                         no_move_on_definite,
+                                         no_only_copy,
+                                         no_answer_incarnation,
+                                         no_home_join,
+                                         no_final_refusal,
+                                         no_home_incarnation,
+                                         no_forgotten_key,
+                                         no_home_has_last_word>;
+TYPED_TEST_SUITE(without_guard_test, weakened_variants);
 
 // Somebody takes a guard for needless and removes it.
 TYPED_TEST(without_guard_test, IsCaught) {
--- a/tests/attempt_table_test.cc
+++ b/tests/attempt_table_test.cc
@@ -33,16 +33,16 @@
 // sender asked over another one, was told that the attempt hasn't run, and sent
 // the request elsewhere. Would it start when its bytes arrive at last, a
 // tenancy would be signed twice.
-TEST(AttemptTableTest, WhatWasDeniedNeverStarts) {
+TEST(AttemptTableTest, RefusedAttemptNeverStarts) {
   attempt_table table;
   const attempt_key attempt{.sender = kSender, .number = 1};
-  EXPECT_EQ(table.Ask(attempt), attempt_verdict::kRefused);
+  EXPECT_EQ(table.Query(attempt), attempt_verdict::kRefused);
   EXPECT_EQ(table.Begin(attempt), attempt_verdict::kRefused);
-  EXPECT_EQ(table.Ask(attempt), attempt_verdict::kRefused);
+  EXPECT_EQ(table.Query(attempt), attempt_verdict::kRefused);
 }
 
 // Likewise for an attempt that its sender has already settled.
-TEST(AttemptTableTest, WhatWasSettledNeverStarts) {
+TEST(AttemptTableTest, SettledAttemptNeverStarts) {
   attempt_table table;
   table.Settle(kSender, 5);
   EXPECT_EQ(table.Begin({.sender = kSender, .number = 4}),
@@ -51,7 +51,7 @@
             attempt_verdict::kStart);
 }
 
-TEST(AttemptTableTest, SettledAnswersAreForgotten) {
+TEST(AttemptTableTest, SettledAnswersAreReleased) {
   attempt_table table;
   for (std::uint64_t i = 1; i <= 10; ++i) {
     table.Begin({.sender = kSender, .number = i});
@@ -63,7 +63,7 @@
   EXPECT_FALSE(table.Finish({.sender = kSender, .number = 3}, Answer("late")));
 }
 
-TEST(AttemptTableTest, SendersAreForgottenLongAfterTheirLastConnection) {
+TEST(AttemptTableTest, SendersExpireAfterTheRetention) {
   attempt_table table;
   table.OnConnected(kSender);
   table.Begin({.sender = kSender, .number = 1});
@@ -82,10 +82,10 @@
 
 // Attempts come doubled, late and in any order, mixed with questions and
 // settling. None starts twice, and none starts after it was denied.
-RC_GTEST_PROP(AttemptTableTest, NeverStartsTwiceNorAfterADenial, ()) {
+RC_GTEST_PROP(AttemptTableTest, NeverStartsTwiceNorAfterARefusal, ()) {
   attempt_table table;
   std::map<std::uint64_t, int> starts;
-  std::set<std::uint64_t> denied;
+  std::set<std::uint64_t> refused;
   const auto steps = *rc::gen::inRange(1, 300);
   for (int i = 0; i < steps; ++i) {
     const attempt_key attempt{
@@ -93,7 +93,7 @@
     attempt_verdict verdict = attempt_verdict::kRunning;
     switch (*rc::gen::inRange(0, 5)) {
       case 0:
-        verdict = table.Ask(attempt);
+        verdict = table.Query(attempt);
         RC_ASSERT(verdict != attempt_verdict::kStart);
         break;
       case 1:
@@ -110,10 +110,10 @@
     }
     if (verdict == attempt_verdict::kStart) {
       RC_ASSERT(++starts[attempt.number] == 1);
-      RC_ASSERT(!denied.contains(attempt.number));
+      RC_ASSERT(!refused.contains(attempt.number));
     }
     if (verdict == attempt_verdict::kRefused) {
-      denied.insert(attempt.number);
+      refused.insert(attempt.number);
     }
   }
 }
--- a/tests/executor_table_test.cc
+++ b/tests/executor_table_test.cc
@@ -66,7 +66,7 @@
 // A copy stands in the network for longer than the record of the first one is
 // kept. It finds no record; only its old epoch tells that there may have been
 // one.
-TEST(ExecutorTableTest, CopyThatOutlivesItsRecordIsStale) {
+TEST(ExecutorTableTest, CopyAfterItsRecordExpiredIsStale) {
   auto table = MakeTable();
   table.Accept(Attempt(1), waiter_id{1}, kStart);
   EXPECT_TRUE(table.Start(Attempt(1)));
@@ -84,7 +84,7 @@
 // A thread reads the clock, is held up past the end of an epoch, and gets the
 // lock with the old time. The records are gone, so the old epoch must stay
 // over.
-TEST(ExecutorTableTest, TimeNeverGoesBack) {
+TEST(ExecutorTableTest, OlderTimeDoesNotReopenAnEpoch) {
   auto table = MakeTable();
   table.Accept(Attempt(1), waiter_id{1}, kStart);
   table.Finish(Attempt(1), Answer(), kStart);
@@ -112,7 +112,7 @@
 // The home gives up on silence and cancels; the cancel overtakes the attempt.
 // The home then runs the request elsewhere, so the attempt must find the
 // cancel.
-TEST(ExecutorTableTest, CancelThatComesFirstLeavesATombstone) {
+TEST(ExecutorTableTest, EarlyCancelLeavesATombstone) {
   auto table = MakeTable();
   EXPECT_EQ(table.Cancel(Attempt(1), kStart).result.kind,
             outcome_kind::kNotExecuted);
@@ -133,7 +133,7 @@
   EXPECT_TRUE(table.Finish(Attempt(1), Answer(), kStart).waiters.empty());
 }
 
-TEST(ExecutorTableTest, RunningAttemptIsNotCancelledAway) {
+TEST(ExecutorTableTest, CancelOfARunningAttemptIsUnknown) {
   auto table = MakeTable();
   table.Accept(Attempt(1), waiter_id{1}, kStart);
   EXPECT_TRUE(table.Start(Attempt(1)));
@@ -159,7 +159,7 @@
 // More attempts than the table holds come within two epochs. The ones that find
 // no room may be copies of ones that ran, so "busy" must not say otherwise; and
 // homes must still be able to cancel.
-TEST(ExecutorTableTest, FullTableIsBusyAndStillTakesCancels) {
+TEST(ExecutorTableTest, FullTableIsBusyAndStillAcceptsCancels) {
   auto table = MakeTable(4);
   table.Accept(Attempt(1), waiter_id{1}, kStart);
   table.Accept(Attempt(2), waiter_id{2}, kStart);
@@ -187,7 +187,7 @@
 
 // Large answers fill the room for answers before their epoch ends. A copy that
 // asks for a dropped one must neither run again nor be told that nothing ran.
-TEST(ExecutorTableTest, DroppedAnswerIsUnknown) {
+TEST(ExecutorTableTest, DiscardedAnswerIsUnknown) {
   auto table = MakeTable();
   for (std::uint64_t i = 1; i <= 3; ++i) {
     table.Accept(Attempt(i), waiter_id{i}, kStart);
--- a/tests/key_codec_test.cc
+++ b/tests/key_codec_test.cc
@@ -56,15 +56,15 @@
 RC_GTEST_PROP(KeyCodecTest, AlteredTextIsRefused, ()) {
   const key_codec codec({"first"});
   std::string text = codec.Seal(SampleKey(), kScope);
-  const auto place = *rc::gen::inRange<std::size_t>(0, text.size());
+  const auto index = *rc::gen::inRange<std::size_t>(0, text.size());
   const char other =
-      *rc::gen::suchThat<char>([&](char c) { return c != text[place]; });
-  text[place] = other;
+      *rc::gen::suchThat<char>([&](char c) { return c != text[index]; });
+  text[index] = other;
   RC_ASSERT(!codec.Open(text, kScope));
 }
 
 RC_GTEST_PROP(KeyCodecTest,
-              CutOrLongerTextIsRefused,
+              TruncatedOrExtendedTextIsRefused,
               (const std::string& tail)) {
   const key_codec codec({"first"});
   const std::string text = codec.Seal(SampleKey(), kScope);
@@ -80,7 +80,7 @@
 }
 
 RC_GTEST_PROP(KeyCodecTest,
-              AnyKeySurvives,
+              AnyKeyRoundTrips,
               (const std::string& vm,
                std::uint64_t incarnation,
                std::uint64_t sequence)) {
--- a/tests/key_home_test.cc
+++ b/tests/key_home_test.cc
@@ -65,7 +65,7 @@
                     .body = std::string(bytes, 'x')});
 }
 
-TEST_F(key_home_test, RunsOnceAndRemembers) {
+TEST_F(key_home_test, RunsOnceAndReplaysTheAnswer) {
   const auto key = IssueOne();
   const auto sent = BeginAt(key);
   EXPECT_EQ(sent.target, "vm-1");
@@ -95,7 +95,7 @@
 
 // A caller reuses a key for another request by mistake. Answering it with the
 // first request's answer would hand it somebody else's result.
-TEST_F(key_home_test, OtherBodyUnderTheKeyIsRefused) {
+TEST_F(key_home_test, DifferentBodyUnderTheKeyIsRefused) {
   const auto key = IssueOne();
   BeginAt(key);
   const auto other =
@@ -107,7 +107,7 @@
   EXPECT_EQ(done.waiters, std::vector{waiter_id{1}});
 }
 
-TEST_F(key_home_test, MovesOnAfterARefusal) {
+TEST_F(key_home_test, TriesAnotherTargetAfterARefusal) {
   const auto key = IssueOne();
   BeginAt(key);
   const auto place = std::get<place_attempt>(home_.AttemptAnswered(
@@ -122,21 +122,21 @@
 
 // The connection breaks after the request was sent. The executor may be running
 // it, so the home asks the same one again, then says unknown and cancels.
-TEST_F(key_home_test, SilenceNeverMovesOn) {
+TEST_F(key_home_test, NoAnswerNeverMovesToAnotherTarget) {
   const auto key = IssueOne();
   const auto first = BeginAt(key);
   const auto copy = std::get<send_attempt>(home_.AttemptLost(key, 1, kStart));
   EXPECT_EQ(copy.binding.executor, first.binding.executor);
   EXPECT_EQ(copy.binding.attempt, first.binding.attempt);
-  const auto told = std::get<finish_call>(home_.AttemptLost(key, 1, kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
-  ASSERT_TRUE(told.cancel);
-  EXPECT_EQ(told.cancel->target, "vm-1");
+  const auto finish = std::get<finish_call>(home_.AttemptLost(key, 1, kStart));
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
+  ASSERT_TRUE(finish.cancel);
+  EXPECT_EQ(finish.cancel->target, "vm-1");
 }
 
 // The VM is gone and refuses connections. Nothing was sent, so another target
 // can have the request at once.
-TEST_F(key_home_test, MovesOnIfNothingWasSent) {
+TEST_F(key_home_test, TriesAnotherTargetIfNothingWasSent) {
   const auto key = IssueOne();
   BeginAt(key);
   EXPECT_TRUE(std::holds_alternative<place_attempt>(
@@ -145,18 +145,19 @@
 
 // The first copy was sent and its connection broke; then the VM refuses
 // connections. The first copy may have run.
-TEST_F(key_home_test, DeadVmIsSilentIfACopyWasSentBefore) {
+TEST_F(key_home_test, UnreachableVmIsNotDefiniteAfterAnEarlierCopy) {
   const auto key = IssueOne();
   BeginAt(key);
   home_.AttemptLost(key, 1, kStart);
-  const auto told = std::get<finish_call>(home_.AttemptNotSent(key, 1, kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
+  const auto finish =
+      std::get<finish_call>(home_.AttemptNotSent(key, 1, kStart));
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
 }
 
 // The deadline passes while the request may run, and the caller asks again. By
 // now the VM refuses connections; that the second copy wasn't sent says nothing
 // of the first. Found by a random schedule.
-TEST_F(key_home_test, UnsentCopyAfterAskingAgainIsNotDefinite) {
+TEST_F(key_home_test, UnsentCopyAfterACallerRetryIsNotDefinite) {
   const auto key = IssueOne();
   BeginAt(key);
   home_.DeadlinePassed(key, kStart);
@@ -167,22 +168,22 @@
 
 // The executor dies while it runs the request, and a new start of it on the
 // same address refuses the copy.
-TEST_F(key_home_test, RefusalOfAnotherIncarnationIsNotBelieved) {
+TEST_F(key_home_test, RefusalOfAnotherIncarnationIsUnknown) {
   const auto key = IssueOne();
   BeginAt(key);
-  const daemon_ref reborn{.vm = "vm-1", .incarnation = incarnation_id{99}};
-  const auto told = std::get<finish_call>(home_.AttemptAnswered(
-      key, 1, From(reborn, NotExecuted(reason::kNotReady)), kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
-  EXPECT_EQ(told.result.why, reason::kStale);
+  const daemon_ref restarted{.vm = "vm-1", .incarnation = incarnation_id{99}};
+  const auto finish = std::get<finish_call>(home_.AttemptAnswered(
+      key, 1, From(restarted, NotExecuted(reason::kNotReady)), kStart));
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
+  EXPECT_EQ(finish.result.why, reason::kStale);
 }
 
 TEST_F(key_home_test, StaleAndBusyAreNotRefusals) {
   const auto stale_key = IssueOne();
   BeginAt(stale_key);
-  const auto told = std::get<finish_call>(home_.AttemptAnswered(
+  const auto finish = std::get<finish_call>(home_.AttemptAnswered(
       stale_key, 1, From(kFirst, Unknown(reason::kStale)), kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
 
   const auto busy_key = IssueOne();
   BeginAt(busy_key);
@@ -194,12 +195,12 @@
 
 // The deadline passes while the request may run. The caller is told at once;
 // when it asks again, the executor is asked for what came of it.
-TEST_F(key_home_test, CallerLearnsALateResult) {
+TEST_F(key_home_test, CallerRetryReturnsALateResult) {
   const auto key = IssueOne();
   BeginAt(key);
-  const auto told = std::get<finish_call>(home_.DeadlinePassed(key, kStart));
-  EXPECT_EQ(told.result.why, reason::kTimeout);
-  ASSERT_TRUE(told.cancel);
+  const auto finish = std::get<finish_call>(home_.DeadlinePassed(key, kStart));
+  EXPECT_EQ(finish.result.why, reason::kTimeout);
+  ASSERT_TRUE(finish.cancel);
   const auto copy =
       std::get<send_attempt>(home_.Begin(Request(key, 2), kStart));
   EXPECT_EQ(copy.binding.executor, kFirst.incarnation);
@@ -212,8 +213,8 @@
 TEST_F(key_home_test, DeadlineBeforeAnythingWasSentIsDefinite) {
   const auto key = IssueOne();
   home_.Begin(Request(key), kStart);
-  const auto told = std::get<finish_call>(home_.DeadlinePassed(key, kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kNotExecuted);
+  const auto finish = std::get<finish_call>(home_.DeadlinePassed(key, kStart));
+  EXPECT_EQ(finish.result.kind, outcome_kind::kNotExecuted);
   EXPECT_TRUE(std::holds_alternative<no_action>(
       home_.Placed(key, 1, kFirst, epoch_id{3})));
 }
@@ -238,7 +239,7 @@
 
 // A caller holds a key for too long, or its key's record was dropped for room.
 // The first never ran, the second may have; they must not be told the same.
-TEST_F(key_home_test, ExpiredAndForgottenKeysAreToldApart) {
+TEST_F(key_home_test, ExpiredAndEvictedKeysHaveDifferentOutcomes) {
   const auto unused = IssueOne();
   const auto used = IssueOne();
   BeginAt(used);
@@ -260,18 +261,18 @@
 TEST_F(key_home_test, KeyOfAnEarlierIncarnationIsUnknown) {
   auto key = IssueOne();
   key.home.incarnation = incarnation_id{2};
-  const auto told = std::get<finish_call>(home_.Begin(Request(key), kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
+  const auto finish = std::get<finish_call>(home_.Begin(Request(key), kStart));
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
 }
 
 TEST_F(key_home_test, KeyThatWasNeverIssuedIsRefused) {
   const idempotency_key key{.home = kSelf, .sequence = 12345};
-  const auto told = std::get<finish_call>(home_.Begin(Request(key), kStart));
-  EXPECT_EQ(told.result.why, reason::kBadKey);
+  const auto finish = std::get<finish_call>(home_.Begin(Request(key), kStart));
+  EXPECT_EQ(finish.result.why, reason::kBadKey);
 }
 
 // One caller fetches keys without end. Others must still get theirs.
-TEST_F(key_home_test, OneCallerCannotTakeAllKeys) {
+TEST_F(key_home_test, OneCallerCannotExhaustTheKeys) {
   EXPECT_EQ(home_.Issue(1000, "10.0.0.1", kLifetime, kStart).keys.size(), 10U);
   const auto refused = home_.Issue(1, "10.0.0.1", kLifetime, kStart);
   EXPECT_TRUE(refused.keys.empty());
@@ -309,7 +310,7 @@
       home_.Begin(Request(third), kStart)));
 }
 
-TEST_F(key_home_test, DroppedAnswerIsUnknown) {
+TEST_F(key_home_test, DiscardedAnswerIsUnknown) {
   std::vector<idempotency_key> keys;
   for (int i = 0; i < 3; ++i) {
     keys.push_back(IssueOne());
@@ -317,21 +318,21 @@
     home_.AttemptAnswered(keys.back(), 1, From(kFirst, Answer(40)), kStart);
   }
   EXPECT_LE(home_.answer_bytes(), 100U);
-  const auto told =
+  const auto finish =
       std::get<finish_call>(home_.Begin(Request(keys[0], 2), kStart));
-  EXPECT_EQ(told.result.why, reason::kAnswerDiscarded);
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
+  EXPECT_EQ(finish.result.why, reason::kAnswerDiscarded);
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
 }
 
 // A caller goes away; nobody waits for the result any more.
-TEST_F(key_home_test, LastCallerLeavingCancels) {
+TEST_F(key_home_test, LastCallerDisconnectCancels) {
   const auto key = IssueOne();
   BeginAt(key);
   home_.Begin(Request(key, 2), kStart);
   EXPECT_TRUE(
-      std::holds_alternative<no_action>(home_.Leave(key, waiter_id{1})));
-  EXPECT_TRUE(
-      std::holds_alternative<send_cancel>(home_.Leave(key, waiter_id{2})));
+      std::holds_alternative<no_action>(home_.RemoveWaiter(key, waiter_id{1})));
+  EXPECT_TRUE(std::holds_alternative<send_cancel>(
+      home_.RemoveWaiter(key, waiter_id{2})));
   home_.CancelAnswered(key, 1, From(kFirst, NotExecuted(reason::kCancelled)),
                        kStart);
   const auto again =
@@ -340,7 +341,7 @@
 }
 
 // A planned stop: keys that callers hold keep working, new ones are refused.
-TEST_F(key_home_test, DrainingHomeServesItsKeysToTheEnd) {
+TEST_F(key_home_test, DrainingHomeServesItsKeysUntilTheyExpire) {
   const auto key = IssueOne();
   const auto unused = IssueOne();
   home_.StartDraining();
@@ -353,7 +354,7 @@
   EXPECT_TRUE(home_.drained());
 }
 
-TEST_F(key_home_test, RetriesEndWithTheCredit) {
+TEST_F(key_home_test, RetriesStopWhenTheCreditIsSpent) {
   const auto key = IssueOne();
   BeginAt(key);
   std::uint32_t attempt = 1;
--- a/tests/support/once_network.h
+++ b/tests/support/once_network.h
@@ -23,8 +23,8 @@
 
 enum class network_op : std::uint8_t {
   kNewRequest,
-  kSendAgain,
-  kWrongBody,
+  kResend,
+  kReuseKey,
   kRelayRefuses,
   kDeliver,
   kDeliverAndKeep,
@@ -35,12 +35,12 @@
   kCrashTarget,
   kLoseAttempt,
   kPassDeadline,
-  kLeave,
+  kDisconnectCaller,
   kAdvanceClock,
   kRestartExecutor,
   kRestartHome,
   kPause,
-  kCut,
+  kPartition,
   kCount,
 };
 
@@ -86,8 +86,8 @@
   void Run(const network_step& step);
 
   // The first promise that was broken, or nothing.
-  [[nodiscard]] const std::optional<std::string>& broken() const {
-    return broken_;
+  [[nodiscard]] const std::optional<std::string>& violation() const {
+    return violation_;
   }
   [[nodiscard]] network_coverage coverage() const;
 
@@ -102,8 +102,8 @@
     idempotency_key key;
     std::string body;
     std::uint32_t ran = 0;
-    bool told_completed = false;
-    bool told_not_executed = false;
+    bool reported_completed = false;
+    bool reported_not_executed = false;
   };
 
   struct caller_message {
@@ -139,10 +139,10 @@
     std::vector<admitted_attempt> queue;
     std::vector<admitted_attempt> running;
     bool paused = false;
-    bool cut = false;  // From the home.
+    bool partitioned = false;  // From the home.
     // What the home believes of it.
-    incarnation_id seen_self{};
-    epoch_id seen_epoch{};
+    incarnation_id known_incarnation{};
+    epoch_id known_epoch{};
   };
 
   // Mostly the present; sometimes the past, read by a thread that was held up.
@@ -154,14 +154,14 @@
   void StartExecutor(std::size_t index);
   void NewRequest(std::uint32_t bits);
   void SendCopy(const network_step& step, bool refused);
-  void SendWrongBody(const network_step& step);
+  void ReuseKey(const network_step& step);
   void RelayRefuses(const network_step& step);
   void Deliver(const network_step& step, bool keep);
-  [[nodiscard]] bool IsHeldUp(const message& sent) const;
-  void Receive(const caller_message& got, std::uint32_t bits);
-  void Receive(const attempt_message& got, std::uint32_t bits);
-  void Receive(const cancel_message& got, std::uint32_t bits);
-  void Receive(const answer_message& got, std::uint32_t bits);
+  [[nodiscard]] bool IsBlocked(const message& sent) const;
+  void Receive(const caller_message& received, std::uint32_t bits);
+  void Receive(const attempt_message& received, std::uint32_t bits);
+  void Receive(const cancel_message& received, std::uint32_t bits);
+  void Receive(const answer_message& received, std::uint32_t bits);
   void Answer(const attempt_message& to, const outcome& result);
   void FinishAdmitted(std::size_t index,
                       const admitted_attempt& attempt,
@@ -170,12 +170,12 @@
   void RefuseQueued(const network_step& step);
   void FinishRunning(const network_step& step, bool crash);
   void ChooseKeyEvent(const network_step& step);
-  void LeaveOne(const idempotency_key& key);
-  void Act(const home_action& action, std::uint32_t bits);
+  void DisconnectCaller(const idempotency_key& key);
+  void Execute(const home_action& action, std::uint32_t bits);
   void Place(const place_attempt& place, std::uint32_t bits);
   void Send(const send_attempt& send);
-  void Tell(const finish_call& finish);
-  void TellRequest(std::size_t index, const outcome& result);
+  void FinishCall(const finish_call& finish);
+  void ReportOutcome(std::size_t index, const outcome& result);
   void Check(std::size_t index);
   std::size_t IndexOf(const vm_id& vm) const {
     return static_cast<std::size_t>(vm.back() - '0');
@@ -194,7 +194,7 @@
   // The request that the home began for a key, and its attempt.
   std::map<idempotency_key, std::size_t> begun_;
   std::map<idempotency_key, std::uint32_t> attempts_;
-  std::optional<std::string> broken_;
+  std::optional<std::string> violation_;
   network_coverage coverage_;
 };
 
--- a/tests/support/once_network_impl.h
+++ b/tests/support/once_network_impl.h
@@ -32,25 +32,25 @@
 
 template <typename Guards>
 void once_network<Guards>::StartExecutor(std::size_t index) {
-  executor& fresh = executors_[index];
-  if (fresh.table) {
-    coverage_.busy += fresh.table->counters().busy;
-    coverage_.stale += fresh.table->counters().stale;
-    coverage_.cancelled += fresh.table->counters().cancelled;
-  }
-  fresh.self = incarnation_id{++last_incarnation_};
-  fresh.table.emplace(executor_table_options{.self = fresh.self,
-                                             .started = now_,
-                                             .epoch_length = seconds(10),
-                                             .max_records = 8,
-                                             .cancel_reserve = 3,
-                                             .max_answer_bytes = 30,
-                                             .max_waiters = 3});
-  fresh.queue.clear();
-  fresh.running.clear();
-  if (fresh.seen_self == incarnation_id{}) {
-    fresh.seen_self = fresh.self;
-    fresh.seen_epoch = fresh.table->epoch();
+  executor& started = executors_[index];
+  if (started.table) {
+    coverage_.busy += started.table->counters().busy;
+    coverage_.stale += started.table->counters().stale;
+    coverage_.cancelled += started.table->counters().cancelled;
+  }
+  started.self = incarnation_id{++last_incarnation_};
+  started.table.emplace(executor_table_options{.self = started.self,
+                                               .started = now_,
+                                               .epoch_length = seconds(10),
+                                               .max_records = 8,
+                                               .cancel_reserve = 3,
+                                               .max_answer_bytes = 30,
+                                               .max_waiters = 3});
+  started.queue.clear();
+  started.running.clear();
+  if (started.known_incarnation == incarnation_id{}) {
+    started.known_incarnation = started.self;
+    started.known_epoch = started.table->epoch();
   }
 }
 
@@ -75,10 +75,10 @@
   switch (step.op) {
     case network_op::kNewRequest:
       return NewRequest(step.bits);
-    case network_op::kSendAgain:
+    case network_op::kResend:
       return SendCopy(step, false);
-    case network_op::kWrongBody:
-      return SendWrongBody(step);
+    case network_op::kReuseKey:
+      return ReuseKey(step);
     case network_op::kRelayRefuses:
       return RelayRefuses(step);
     case network_op::kDeliver:
@@ -100,7 +100,7 @@
       return FinishRunning(step, step.bits % 4 == 0);
     case network_op::kLoseAttempt:
     case network_op::kPassDeadline:
-    case network_op::kLeave:
+    case network_op::kDisconnectCaller:
       return ChooseKeyEvent(step);
     case network_op::kAdvanceClock:
       now_ += milliseconds(step.bits % 2000);
@@ -114,8 +114,8 @@
     case network_op::kPause:
       chosen.paused = step.bits % 4 == 0;
       return;
-    case network_op::kCut:
-      chosen.cut = step.bits % 4 == 0;
+    case network_op::kPartition:
+      chosen.partitioned = step.bits % 4 == 0;
       return;
     case network_op::kCount:
       return;
@@ -148,7 +148,7 @@
 
 // A second request under the key of another one.
 template <typename Guards>
-void once_network<Guards>::SendWrongBody(const network_step& step) {
+void once_network<Guards>::ReuseKey(const network_step& step) {
   if (requests_.empty() || requests_.size() >= kMaxRequests ||
       step.bits % 16 != 0) {
     return;
@@ -169,22 +169,22 @@
   }
   const std::size_t index = step.pick % requests_.size();
   if (requests_[index].ran == 0) {
-    TellRequest(index, NotExecuted(reason::kOverload));
+    ReportOutcome(index, NotExecuted(reason::kOverload));
   }
 }
 
 template <typename Guards>
-bool once_network<Guards>::IsHeldUp(const message& sent) const {
+bool once_network<Guards>::IsBlocked(const message& sent) const {
   if (const auto* attempt = std::get_if<attempt_message>(&sent)) {
     const executor& to = executors_[attempt->executor];
-    return to.paused || to.cut;
+    return to.paused || to.partitioned;
   }
   if (const auto* cancel = std::get_if<cancel_message>(&sent)) {
     const executor& to = executors_[cancel->executor];
-    return to.paused || to.cut;
+    return to.paused || to.partitioned;
   }
   if (const auto* answer = std::get_if<answer_message>(&sent)) {
-    return executors_[answer->executor].cut;
+    return executors_[answer->executor].partitioned;
   }
   return false;
 }
@@ -195,22 +195,22 @@
     return;
   }
   const std::size_t index = step.pick % network_.size();
-  if (IsHeldUp(network_[index])) {
+  if (IsBlocked(network_[index])) {
     return;
   }
-  const message got = network_[index];
+  const message received = network_[index];
   if (!keep || network_.size() > 60) {
     network_.erase(network_.begin() + static_cast<std::ptrdiff_t>(index));
   }
-  std::visit([&](const auto& each) { Receive(each, step.bits); }, got);
+  std::visit([&](const auto& each) { Receive(each, step.bits); }, received);
 }
 
 template <typename Guards>
-void once_network<Guards>::Receive(const caller_message& got,
+void once_network<Guards>::Receive(const caller_message& received,
                                    std::uint32_t bits) {
-  const request& sent = requests_[got.request];
+  const request& sent = requests_[received.request];
   const std::uint64_t waiter = ++last_waiter_;
-  waiting_requests_[waiter] = got.request;
+  waiting_requests_[waiter] = received.request;
   const begin_request begin{.key = sent.key,
                             .fingerprint = Fingerprint({.service = "contracts",
                                                         .method = "sign",
@@ -219,46 +219,48 @@
                             .waiter = waiter_id{waiter},
                             .retry_credit = kCredit};
   const home_action action =
-      got.refused
+      received.refused
           ? home_->Refuse(begin, NotExecuted(reason::kOverload), Now(bits))
           : home_->Begin(begin, Now(bits));
   if (const auto* place = std::get_if<place_attempt>(&action)) {
-    begun_[place->key] = got.request;
+    begun_[place->key] = received.request;
   }
-  Act(action, bits);
+  Execute(action, bits);
 }
 
 template <typename Guards>
-void once_network<Guards>::Receive(const attempt_message& got,
+void once_network<Guards>::Receive(const attempt_message& received,
                                    std::uint32_t bits) {
-  executor& to = executors_[got.executor];
+  executor& to = executors_[received.executor];
   // A daemon that has just started may refuse before it looks at its table.
-  if (got.binding.executor != to.self && bits % 2 == 0) {
-    return Answer(got, NotExecuted(reason::kNotReady));
+  if (received.binding.executor != to.self && bits % 2 == 0) {
+    return Answer(received, NotExecuted(reason::kNotReady));
   }
   const std::uint64_t waiter = ++last_waiter_;
-  waiting_attempts_[waiter] = got;
+  waiting_attempts_[waiter] = received;
   const attempt_decision decision =
-      to.table->Accept(got.binding, waiter_id{waiter}, Now(bits));
+      to.table->Accept(received.binding, waiter_id{waiter}, Now(bits));
   if (decision.step == attempt_step::kAdmit) {
-    to.queue.push_back({.binding = got.binding, .request = got.request});
+    to.queue.push_back(
+        {.binding = received.binding, .request = received.request});
   } else if (decision.step == attempt_step::kAnswer) {
-    Answer(got, decision.result);
+    Answer(received, decision.result);
   }
 }
 
 template <typename Guards>
-void once_network<Guards>::Receive(const cancel_message& got,
+void once_network<Guards>::Receive(const cancel_message& received,
                                    std::uint32_t bits) {
-  executor& to = executors_[got.executor];
-  const cancel_decision decision = to.table->Cancel(got.binding, Now(bits));
+  executor& to = executors_[received.executor];
+  const cancel_decision decision =
+      to.table->Cancel(received.binding, Now(bits));
   answer_envelope answer;
   answer.result = decision.result;
   answer.executor = to.self;
   answer.epoch = to.table->epoch();
-  network_.push_back(answer_message{.key = got.binding.key,
-                                    .attempt = got.binding.attempt,
-                                    .executor = got.executor,
+  network_.push_back(answer_message{.key = received.binding.key,
+                                    .attempt = received.binding.attempt,
+                                    .executor = received.executor,
                                     .answer = answer,
                                     .to_cancel = true});
   for (const waiter_id waiter : decision.waiters) {
@@ -268,15 +270,17 @@
 }
 
 template <typename Guards>
-void once_network<Guards>::Receive(const answer_message& got,
+void once_network<Guards>::Receive(const answer_message& received,
                                    std::uint32_t bits) {
-  executor& from = executors_[got.executor];
-  from.seen_self = got.answer.executor;
-  from.seen_epoch = got.answer.epoch;
-  Act(got.to_cancel
-          ? home_->CancelAnswered(got.key, got.attempt, got.answer, Now(bits))
-          : home_->AttemptAnswered(got.key, got.attempt, got.answer, Now(bits)),
-      bits);
+  executor& from = executors_[received.executor];
+  from.known_incarnation = received.answer.executor;
+  from.known_epoch = received.answer.epoch;
+  Execute(received.to_cancel
+              ? home_->CancelAnswered(received.key, received.attempt,
+                                      received.answer, Now(bits))
+              : home_->AttemptAnswered(received.key, received.attempt,
+                                       received.answer, Now(bits)),
+          bits);
 }
 
 template <typename Guards>
@@ -369,28 +373,29 @@
   const idempotency_key key = chosen->first;
   switch (step.op) {
     case network_op::kLoseAttempt:
-      return Act(home_->AttemptLost(key, attempts_[key], now_), step.bits);
+      return Execute(home_->AttemptLost(key, attempts_[key], now_), step.bits);
     case network_op::kPassDeadline:
-      return Act(home_->DeadlinePassed(key, now_), step.bits);
+      return Execute(home_->DeadlinePassed(key, now_), step.bits);
     default:
-      return LeaveOne(key);
+      return DisconnectCaller(key);
   }
 }
 
 // The caller that has waited longest for `key` goes away.
 template <typename Guards>
-void once_network<Guards>::LeaveOne(const idempotency_key& key) {
+void once_network<Guards>::DisconnectCaller(const idempotency_key& key) {
   for (const auto& [waiter, index] : waiting_requests_) {
     if (requests_[index].key == key) {
-      const std::uint64_t gone = waiter;
-      waiting_requests_.erase(gone);
-      return Act(home_->Leave(key, waiter_id{gone}), 0);
+      const std::uint64_t disconnected = waiter;
+      waiting_requests_.erase(disconnected);
+      return Execute(home_->RemoveWaiter(key, waiter_id{disconnected}), 0);
     }
   }
 }
 
 template <typename Guards>
-void once_network<Guards>::Act(const home_action& action, std::uint32_t bits) {
+void once_network<Guards>::Execute(const home_action& action,
+                                   std::uint32_t bits) {
   if (const auto* place = std::get_if<place_attempt>(&action)) {
     Place(*place, bits);
   } else if (const auto* send = std::get_if<send_attempt>(&action)) {
@@ -399,7 +404,7 @@
     network_.push_back(cancel_message{.binding = cancel->binding,
                                       .executor = IndexOf(cancel->target)});
   } else if (const auto* finish = std::get_if<finish_call>(&action)) {
-    Tell(*finish);
+    FinishCall(*finish);
   }
 }
 
@@ -409,30 +414,30 @@
   attempts_[place.key] = place.attempt;
   if (place.attempt > kCredit + 1 && Guards::kHomeJoin &&
       Guards::kFinalRefusal) {
-    broken_ = "an attempt beyond the retry credit";
+    violation_ = "an attempt beyond the retry credit";
   }
   if (bits % 16 == 1) {
-    return Act(home_->NotPlaced(place.key, place.attempt,
-                                NotExecuted(reason::kNoTarget), now_),
-               bits / 16);
+    return Execute(home_->NotPlaced(place.key, place.attempt,
+                                    NotExecuted(reason::kNoTarget), now_),
+                   bits / 16);
   }
   const std::size_t index = bits % kExecutors;
   const executor& to = executors_[index];
   // Mostly a fresh view of the executor, sometimes an old one.
   const bool old = bits % 8 == 2;
   const daemon_ref target{.vm = std::to_string(index),
-                          .incarnation = old ? to.seen_self : to.self};
-  Act(home_->Placed(place.key, place.attempt, target,
-                    old ? to.seen_epoch : to.table->epoch()),
-      bits / 16);
+                          .incarnation = old ? to.known_incarnation : to.self};
+  Execute(home_->Placed(place.key, place.attempt, target,
+                        old ? to.known_epoch : to.table->epoch()),
+          bits / 16);
 }
 
 template <typename Guards>
 void once_network<Guards>::Send(const send_attempt& send) {
   const std::size_t index = IndexOf(send.target);
   // Connections over a cut fail before anything is sent.
-  if (executors_[index].cut) {
-    return Act(
+  if (executors_[index].partitioned) {
+    return Execute(
         home_->AttemptNotSent(send.binding.key, send.binding.attempt, now_),
         static_cast<std::uint32_t>(index) + 1);
   }
@@ -442,35 +447,35 @@
 }
 
 template <typename Guards>
-void once_network<Guards>::Tell(const finish_call& finish) {
+void once_network<Guards>::FinishCall(const finish_call& finish) {
   for (const waiter_id waiter : finish.waiters) {
     const auto found =
         waiting_requests_.find(static_cast<std::uint64_t>(waiter));
     if (found != waiting_requests_.end()) {
-      TellRequest(found->second, finish.result);
+      ReportOutcome(found->second, finish.result);
       waiting_requests_.erase(found);
     }
   }
   if (finish.cancel) {
-    Act(*finish.cancel, 0);
+    Execute(*finish.cancel, 0);
   }
 }
 
 template <typename Guards>
-void once_network<Guards>::TellRequest(std::size_t index,
-                                       const outcome& result) {
-  request& told = requests_[index];
+void once_network<Guards>::ReportOutcome(std::size_t index,
+                                         const outcome& result) {
+  request& reported = requests_[index];
   switch (result.kind) {
     case outcome_kind::kCompleted:
       ++coverage_.completed;
-      told.told_completed = true;
-      if (result.reply.body != "answer to " + told.body) {
-        broken_ = "a caller got another request's answer";
+      reported.reported_completed = true;
+      if (result.reply.body != "answer to " + reported.body) {
+        violation_ = "a caller received another request's answer";
       }
       break;
     case outcome_kind::kNotExecuted:
       ++coverage_.not_executed;
-      told.told_not_executed = true;
+      reported.reported_not_executed = true;
       break;
     case outcome_kind::kUnknown:
       ++coverage_.unknown;
@@ -483,13 +488,13 @@
 void once_network<Guards>::Check(std::size_t index) {
   const request& checked = requests_[index];
   if (checked.ran > 1) {
-    broken_ = "a request ran twice";
+    violation_ = "a request ran twice";
   }
-  if (checked.told_not_executed && checked.ran > 0) {
-    broken_ = "a request that ran was told not executed";
+  if (checked.reported_not_executed && checked.ran > 0) {
+    violation_ = "a request that ran was told not executed";
   }
-  if (checked.told_completed && checked.ran == 0) {
-    broken_ = "a request that never ran was told completed";
+  if (checked.reported_completed && checked.ran == 0) {
+    violation_ = "a request that never ran was told completed";
   }
 }
 
