--- a/bench/once_bench.cc
+++ b/bench/once_bench.cc
@@ -1,5 +1,5 @@
-// What at-most-once execution costs: time of each operation with 20,000 keys
-// standing in the table, and memory of one key.
+// Cost of at-most-once execution: time of each operation with 20,000 keys in
+// the table, and memory per key.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -23,7 +23,7 @@
 constexpr milliseconds kLifetime{30000};
 constexpr incarnation_id kExecutor{77};
 
-// Bytes that the process holds on the heap.
+// Heap memory in use by the process, in bytes.
 std::size_t HeapBytes() {
   const struct mallinfo2 info = mallinfo2();
   return info.uordblks + info.hblkhd;
@@ -58,7 +58,7 @@
                    .max_answer_bytes = 64 << 20});
 }
 
-// One key from its issue to its result.
+// Runs one key from its issue to its result.
 idempotency_key RunOne(key_home& home, const outcome& result) {
   idempotency_key key = home.Issue(1, "10.0.0.1", kLifetime, kStart).keys.at(0);
   home.Begin({.key = key,
@@ -75,7 +75,7 @@
   return key;
 }
 
-// The table is full of settled keys, so that each new one evicts the oldest.
+// The table is full of settled keys, so that each new key evicts the oldest.
 void BM_HomeWholeExecution(benchmark::State& state) {
   key_home home = MakeHome();
   const outcome result = ShortAnswer();
@@ -104,7 +104,7 @@
 }
 BENCHMARK(BM_HomeIssuedKey);
 
-// A caller sends again after its answer was lost.
+// A caller resends after its answer was lost.
 void BM_HomeReplay(benchmark::State& state) {
   key_home home = MakeHome();
   const outcome result = ShortAnswer();
@@ -135,8 +135,8 @@
   benchmark::DoNotOptimize(table.Finish(attempt, result, now));
 }
 
-// Attempts come at a rate that keeps 20,000 records; the epoch's end, which
-// drops half of them at once, is in the mean.
+// Attempts arrive at a rate that keeps 20,000 records; the mean includes the
+// end of an epoch, which removes half of them at once.
 void BM_ExecutorWholeAttempt(benchmark::State& state) {
   executor_table table = MakeTable();
   const outcome result = ShortAnswer();
@@ -193,7 +193,7 @@
 }
 BENCHMARK(BM_OpenKey);
 
-// A serving call with one child call, beside 1,000 others.
+// A serving call with one child call, in a table with 1,000 others.
 void BM_ContextWholeCall(benchmark::State& state) {
   context_table table({});
   for (std::uint64_t i = 0; i < 1000; ++i) {
--- a/include/once/attempt_table.h
+++ b/include/once/attempt_table.h
@@ -1,5 +1,5 @@
-// attempt_table: what the daemon beside a target remembers of the attempts that
-// other daemons sent it, so that each runs at most once however often it comes.
+// attempt_table: records the attempts that other daemons sent to the daemon
+// beside a target, so that each runs at most once however often it arrives.
 #pragma once
 
 #include <cstddef>
@@ -15,66 +15,66 @@
 
 namespace pistachioweir {
 
-// Names one attempt: the start of the daemon that sends it, and that daemon's
-// own count.
+// Identifies one attempt: the incarnation of the daemon that sends it, and a
+// sequence number of that daemon.
 struct attempt_key {
   incarnation_id sender{};
   std::uint64_t number = 0;
 };
 
-// What is to be done with an attempt that came, or was asked about.
+// How to handle an attempt that arrived or that its sender queried.
 enum class attempt_verdict : std::uint8_t {
   kStart,     // New: run it.
-  kRunning,   // Came before and isn't finished; its answer follows.
-  kFinished,  // Came before; the answer is here.
-  kRefused,   // Must not run here, now or later, and has not.
+  kRunning,   // A duplicate; not finished, its answer follows.
+  kFinished,  // A duplicate; the answer is available.
+  kRefused,   // Has not run here and never will.
 };
 
 inline constexpr enum_table<attempt_verdict, 4> kAttemptVerdictNames(
     {"start", "running", "finished", "refused"});
 
-// Made for connections between daemons that are reset or fall silent behind a
-// request. The sender can't know whether it arrived: to send it again might run
-// it twice, and to give it up loses it. So it asks over a new connection. An
-// attempt that is known here is never started again; one that is not known is
-// refused from then on, so that it can't run when its bytes arrive late, and
-// the sender may truthfully be told that it didn't run.
+// Handles connections between daemons that are reset or stall after a request
+// was sent. The sender can't know whether it arrived: resending it might run it
+// twice, and dropping it might lose it. So the sender queries it over a new
+// connection. An attempt with a record is never started again. An attempt
+// without one is refused from then on, so that it can't run if its bytes arrive
+// late and the answer "not executed" is true.
 //
-// Nothing here outlives the process. A sender that meets another incarnation of
-// this daemon must take its attempts as unknown.
+// Records do not outlive the process. A sender that connects to another
+// incarnation of this daemon must treat the outcome of its attempts as unknown.
 //
-// Pure logic; the owner keeps it under its own lock.
+// No I/O and no locking; the owner synchronises access.
 class attempt_table {
  public:
   using stored_answer = std::shared_ptr<const std::string>;
 
-  // An attempt came. Never kStart twice for one key.
+  // An attempt arrived. Returns kStart at most once for each key.
   attempt_verdict Begin(const attempt_key& attempt);
-  // Its sender asks what became of it. Never kStart.
+  // The sender queries the state of an attempt. Never returns kStart.
   attempt_verdict Query(const attempt_key& attempt);
-  // The attempt has its answer, which is kept until the sender has settled it.
-  // False if nobody will ask for it any more.
+  // Stores the answer of the attempt until its sender settles it. Returns false
+  // if the sender will not query it again.
   bool Finish(const attempt_key& attempt, stored_answer answer);
-  // The answer of an attempt that is kFinished, else nullptr.
+  // Returns the answer of an attempt that is kFinished, else nullptr.
   [[nodiscard]] stored_answer AnswerOf(const attempt_key& attempt) const;
 
-  // The sender has an answer to all its attempts below `number` and will not
-  // ask for them. Whatever of them comes later is refused.
+  // The sender has an answer to each of its attempts below `number` and will
+  // not query them again. Copies of these that arrive later are refused.
   void Settle(incarnation_id sender, std::uint64_t number);
 
-  // The last connection of this sender has ended at `now`; a new one came.
+  // The sender's last connection closed at `now`, or a new one opened.
   void OnDisconnected(incarnation_id sender, time_point now);
   void OnConnected(incarnation_id sender);
-  // Forgets senders that have had no connection for kRetention. Attempts come
-  // over connections only, so none of theirs can arrive any more.
+  // Removes senders that have had no connection for kRetention. Attempts arrive
+  // over connections only, so no more of theirs can arrive.
   void Expire(time_point now);
 
   [[nodiscard]] std::size_t senders() const { return senders_.size(); }
-  // Bytes of the answers that are kept.
+  // Total size of the stored answers.
   [[nodiscard]] std::size_t bytes() const { return bytes_; }
 
-  // Longer than a sender tries to come back for an answer: no caller waits
-  // longer than its deadline, of seconds.
+  // Longer than a sender tries to fetch an answer: no caller waits beyond its
+  // deadline, which is a matter of seconds.
   static constexpr milliseconds kRetention{30000};
 
  private:
@@ -82,7 +82,7 @@
 
   struct record {
     progress state = progress::kRunning;
-    stored_answer answer;  // Only if finished.
+    stored_answer answer;  // Only with kFinished.
   };
 
   struct sender {
--- a/include/once/executor_table.h
+++ b/include/once/executor_table.h
@@ -1,6 +1,7 @@
-// executor_table: the executor's side of at-most-once execution. Remembers each
-// attempt that reached this daemon for as long as a copy of it could still be
-// accepted, so that a copy joins the first one and never runs by itself.
+// executor_table: the executor's side of at-most-once execution. Keeps a record
+// of each attempt that reached this daemon for as long as a copy of it could
+// still be accepted, so that a copy joins the first one and never runs on its
+// own.
 #pragma once
 
 #include <cstddef>
@@ -17,33 +18,34 @@
 
 namespace pistachioweir {
 
-// Names one waiting request of this daemon. The daemon gives the numbers.
+// Identifies one waiting request of this daemon. Assigned by the daemon.
 enum class waiter_id : std::uint64_t {};
 
 struct executor_table_options {
-  // This start of the daemon.
+  // The incarnation of this daemon.
   incarnation_id self{};
   // Start of the first epoch on the daemon's clock.
   time_point started;
-  // A record outlives every moment at which its attempt is acceptable, which is
-  // one to two of these. Longer makes "stale" rarer and costs memory.
+  // A record is kept for as long as its attempt is acceptable, which is one to
+  // two epochs. A longer epoch makes "stale" rarer and costs memory.
   duration epoch_length = seconds(30);
-  // Attempts remembered: waiting, running, answered, refused or cancelled.
+  // Maximum number of records: waiting, running, answered, refused or
+  // cancelled.
   std::size_t max_records = 20000;
-  // Of these, kept free for cancels, so that a flood of attempts can't keep a
-  // home from learning that its attempt won't run.
+  // Of these, reserved for cancels, so that a flood of attempts can't prevent a
+  // home from confirming that its attempt won't run.
   std::size_t cancel_reserve = 1000;
-  // Bytes of answers kept for copies that come later.
+  // Maximum total size of the answers stored for later copies.
   std::size_t max_answer_bytes = 4 << 20;
-  // Copies of one attempt that wait for its result.
+  // Maximum number of copies of one attempt that wait for its result.
   std::size_t max_waiters = 8;
 };
 
-// What the daemon does with an attempt that came in.
+// How the daemon handles an attempt that arrived.
 enum class attempt_step : std::uint8_t {
   kAdmit,   // First copy: admit it, then Start() and Finish() it.
   kWait,    // A copy: answered when the first one finishes.
-  kAnswer,  // Answer `result` now.
+  kAnswer,  // Answer with `result` now.
 };
 
 struct attempt_decision {
@@ -51,18 +53,18 @@
   outcome result;  // With kAnswer only.
 };
 
-// What the daemon does with a cancel that came in.
+// How the daemon handles a cancel that arrived.
 struct cancel_decision {
-  // kNotExecuted is definite: the attempt has not run and never will.
+  // kNotExecuted is definite: the attempt has not run and never will run.
   outcome result;
-  // True if the attempt runs: the daemon may ask its target to stop.
+  // True if the attempt is running: the daemon may ask its target to stop.
   bool running = false;
-  // Copies that waited for the attempt, to be answered `result`.
+  // Copies that waited for the attempt, to be answered with `result`.
   std::vector<waiter_id> waiters;
 };
 
 struct finished_attempt {
-  std::vector<waiter_id> waiters;  // To be answered `result`.
+  std::vector<waiter_id> waiters;  // To be answered with `result`.
   outcome result;
 };
 
@@ -76,39 +78,40 @@
   std::uint64_t answers_discarded = 0;
 };
 
-// One shard: no lock, no clock. The daemon holds several, chosen by
+// One shard: no lock, no clock. The daemon has several, chosen by
 // HashOf(binding), each under its own lock (base/sharded.h).
 //
-// "Busy" (a full table) and "stale" (an epoch that is over, or an attempt for
+// "Busy" (a full table) and "stale" (an expired epoch, or an attempt for
 // another incarnation) are kUnknown with kTableFull and kStale: an earlier copy
 // of the attempt may have run. A daemon must not answer a bound attempt with a
-// kNotExecuted of its own that did not go through Accept() and Finish(): only
+// kNotExecuted of its own that did not pass through Accept() and Finish(): only
 // these leave the tombstone that makes it true for later copies.
 template <typename Guards>
 class basic_executor_table {
  public:
   explicit basic_executor_table(const executor_table_options& options);
 
-  // An attempt came in. Each kAdmit must be followed by Finish() at some time.
+  // An attempt arrived. Each kAdmit must eventually be followed by Finish().
   attempt_decision Accept(const execution_binding& attempt,
                           waiter_id waiter,
                           time_point now);
 
-  // Call right before the target gets the request. False if a cancel came
-  // first: then the request must not be sent and is finished already.
+  // Call immediately before the request is sent to the target. Returns false if
+  // the attempt was cancelled first: the request must not be sent and is
+  // already finished.
   [[nodiscard]] bool Start(const execution_binding& attempt);
 
-  // The result of an admitted attempt: the target's, or kNotExecuted if it was
-  // refused before it reached the target. Remembered for later copies. Nothing
-  // to answer if a cancel came first.
+  // Stores the result of an admitted attempt for later copies: the target's
+  // result, or kNotExecuted if the attempt was refused before it reached the
+  // target. Returns no waiters if a cancel came first.
   finished_attempt Finish(const execution_binding& attempt,
                           const outcome& result,
                           time_point now);
 
-  // The home gives the attempt up. Without a record, leaves a tombstone.
+  // The home cancels the attempt. Leaves a tombstone if there is no record.
   cancel_decision Cancel(const execution_binding& attempt, time_point now);
 
-  // Drops what no copy can reach any more.
+  // Removes the records that no copy can reach any more.
   void Tick(time_point now);
 
   [[nodiscard]] epoch_id epoch() const { return epoch_; }
@@ -119,7 +122,7 @@
   [[nodiscard]] static std::size_t HashOf(const execution_binding& attempt);
 
  private:
-  // A VM's name isn't needed: incarnations are unique in the fleet.
+  // The VM's name isn't needed: incarnations are unique in the fleet.
   struct record_key {
     incarnation_id home{};
     std::uint64_t sequence = 0;
@@ -144,9 +147,10 @@
 
   static record_key KeyOf(const execution_binding& attempt);
 
-  // Moves the epoch on; time that runs backwards is taken for standing still.
+  // Advances the epoch. Ignores a time that is earlier than the last one.
   void AdvanceTo(time_point now);
-  // Whether this table can't judge the attempt; counted.
+  // Return true, and count it as stale, if this table can't determine whether
+  // the attempt has run.
   bool IsForOtherIncarnation(const execution_binding& attempt);
   bool IsEpochExpired(const execution_binding& attempt);
   [[nodiscard]] bool IsAcceptable(epoch_id epoch) const;
@@ -159,19 +163,19 @@
   executor_table_options options_;
   epoch_id epoch_{1};
   record_map records_;
-  // Records by the epoch in which they were made or last kept, the oldest epoch
-  // first. An attempt names that epoch or an older one, so it stops being
-  // acceptable before its record goes. Every record's key is in exactly one
-  // entry.
+  // Records by the epoch in which they were created or last retained, the
+  // oldest epoch first. An attempt names that epoch or an older one, so it
+  // stops being acceptable before its record is removed. The key of each record
+  // is in exactly one entry.
   struct epoch_records {
     epoch_id epoch{};
     std::vector<record_key> keys;
   };
   std::deque<epoch_records> by_epoch_;
-  // Finished records whose answers are kept, the oldest first. May name records
-  // that have gone.
+  // Finished records with a stored answer, the oldest first. May contain keys
+  // of removed records.
   std::deque<record_key> answered_;
-  // Sum of the sizes of the answers kept in records_.
+  // Total size of the answers stored in records_.
   std::size_t answer_bytes_ = 0;
   executor_counters counters_;
 };
--- a/include/once/fingerprint.h
+++ b/include/once/fingerprint.h
@@ -1,4 +1,4 @@
-// request_fingerprint: tells whether two requests ask for the same thing.
+// request_fingerprint: a hash of a request's content, to compare requests.
 #pragma once
 
 #include <compare>
@@ -7,8 +7,9 @@
 
 namespace pistachioweir {
 
-// A 128-bit hash (XXH3). Not secret and not proof against a caller that makes
-// two of its own requests collide: such a caller gets its own first answer.
+// A 128-bit hash (XXH3). Not secret and not collision-resistant against a
+// caller that makes two of its own requests collide: such a caller gets its own
+// first answer.
 struct request_fingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -21,7 +22,7 @@
   std::string_view service;
   std::string_view method;
   std::string_view body;
-  // Pw-Call-Label: tells apart two calls that differ in nothing else.
+  // Pw-Call-Label: distinguishes two calls that are otherwise identical.
   std::string_view label;
 };
 
--- a/include/once/key_codec.h
+++ b/include/once/key_codec.h
@@ -1,4 +1,5 @@
-// key_codec: idempotency keys as text that callers hold and can't make up.
+// key_codec: encodes idempotency keys as authenticated text that callers can
+// store but not forge.
 #pragma once
 
 #include <optional>
@@ -11,11 +12,11 @@
 
 namespace pistachioweir {
 
-// What the text says, all of it covered by the seal.
+// The content of the text, all of it authenticated.
 struct sealed_key {
   idempotency_key key;
-  // How long after its issue the key can start an execution. The home alone
-  // judges it, on its own clock.
+  // How long after its issue the key can start an execution. Checked by the
+  // home alone, on its own clock.
   milliseconds lifetime{0};
 
   friend bool operator==(const sealed_key&, const sealed_key&) = default;
@@ -27,20 +28,21 @@
   std::string_view method;
 };
 
-// Seals keys with an HMAC under the fleet's keys. Immutable, so threads share
-// one. A forged or altered text, or one for another service or method, opens
-// nowhere in the fleet: any daemon can refuse it without asking the home.
+// Authenticates keys with an HMAC under the fleet's keys. Immutable, so threads
+// can share one. A forged or altered text, or one for another service or
+// method, is rejected by every daemon of the fleet: any of them can refuse it
+// without a request to the home.
 class key_codec {
  public:
-  // The first key seals, all of them open, so that keys can be rotated. At
-  // least one is needed; throws std::invalid_argument if there is none.
+  // The first key seals and all of them open, so that keys can be rotated.
+  // Throws std::invalid_argument if `fleet_keys` is empty.
   explicit key_codec(std::vector<std::string> fleet_keys);
 
-  // Text of visible ASCII characters, fit for an HTTP header.
+  // Returns text of visible ASCII characters, valid in an HTTP header.
   [[nodiscard]] std::string Seal(const sealed_key& key,
                                  const key_scope& scope) const;
 
-  // Nothing if `text` was not sealed for `scope` under one of the keys.
+  // Returns nullopt if `text` was not sealed for `scope` under one of the keys.
   [[nodiscard]] std::optional<sealed_key> Open(std::string_view text,
                                                const key_scope& scope) const;
 
--- a/include/once/key_home.h
+++ b/include/once/key_home.h
@@ -1,6 +1,6 @@
 // key_home: the home's side of at-most-once execution. Issues keys, starts at
-// most one execution for each, drives it from executor to executor, and
-// remembers what came of it for as long as the key lives.
+// most one execution for each, sends it to one executor after another until one
+// accepts it, and stores its result for the lifetime of the key.
 #pragma once
 
 #include <cstddef>
@@ -32,65 +32,68 @@
   // This shard issues the sequence numbers that are `shard` modulo `shards`.
   std::uint32_t shard = 0;
   std::uint32_t shards = 1;
-  // Keys with a record: issued, running or remembered.
+  // Maximum number of keys with a record: issued, running or finished.
   std::size_t max_keys = 20000;
-  // Of these, issued to one caller's address and not settled yet.
+  // Of these, the maximum issued to one caller's address and not yet settled.
   std::size_t max_keys_per_caller = 4000;
-  // Bytes of answers kept for callers that ask again.
+  // Maximum total size of the answers stored for callers that retry.
   std::size_t max_answer_bytes = 8 << 20;
-  // Callers that wait for one execution.
+  // Maximum number of callers that wait for one execution.
   std::size_t max_waiters = 16;
-  // Times that one attempt is sent to its executor, the first one included. A
-  // copy costs no execution; the bound keeps silence from becoming a stream.
+  // Maximum number of times that one attempt is sent to its executor, the first
+  // one included. A copy causes no second execution; the limit prevents endless
+  // resends to an executor that does not answer.
   std::uint32_t max_sends = 3;
-  // Pause before an attempt goes again to an executor whose table is full.
+  // Delay before an attempt is resent to an executor whose table is full.
   milliseconds busy_retry_delay{20};
 };
 
-// Keys, or why there are none.
+// Issued keys, or the reason why there are none.
 struct issued_keys {
   std::vector<idempotency_key> keys;
   reason refusal = reason::kNone;  // kDraining or kTableFull.
 };
 
-// A caller's request to run something under a key.
+// A request of a caller to execute something under a key.
 struct begin_request {
   idempotency_key key;
   request_fingerprint fingerprint;
   waiter_id waiter{};
-  // Retries that may be spent for the key. Only the first request's counts.
+  // Retries that may be spent for the key. Only the value of the first request
+  // counts.
   std::uint32_t retry_credit = 0;
 };
 
-// What the daemon has to do next. Each names the key, and the attempt it is
+// The daemon's next action. Each identifies the key and the attempt that it is
 // about, so that it can be carried out without the home's lock.
 
-// Nothing for now: the caller waits, or the event was about something settled.
+// Nothing to do: the caller waits, or the event was about a settled attempt.
 struct no_action {};
 
-// Choose a target that is none of `tried`, then call Placed() or NotPlaced().
+// Choose a target that is not in `tried`, then call Placed() or NotPlaced().
 struct place_attempt {
   idempotency_key key;
   std::uint32_t attempt = 0;
   std::vector<vm_id> tried;
 };
 
-// Send the call to `target`'s daemon, after `delay` if that isn't zero, then
-// call AttemptAnswered() or AttemptLost().
+// Send the call to the daemon of `target` after `delay`, then call
+// AttemptAnswered() or AttemptLost().
 struct send_attempt {
   execution_binding binding;
   vm_id target;
-  std::uint32_t credit = 0;  // Retry credit that goes with the call.
+  std::uint32_t credit = 0;  // Retry credit lent with the call.
   milliseconds delay{0};
 };
 
-// Send a cancel, then call CancelAnswered() if there is an answer.
+// Send a cancel, then call CancelAnswered() if it is answered.
 struct send_cancel {
   execution_binding binding;
   vm_id target;
 };
 
-// Tell `waiters` the result. With `cancel`, also cancel what may still run.
+// Answer `waiters` with the result. With `cancel`, also cancel the attempt,
+// which may still run.
 struct finish_call {
   idempotency_key key;
   std::vector<waiter_id> waiters;
@@ -114,39 +117,39 @@
   std::uint64_t answers_discarded = 0;
 };
 
-// One shard: no lock, no clock. The daemon holds several (base/sharded.h),
+// One shard: no lock, no clock. The daemon has several (base/sharded.h),
 // issues from shard hash(caller address) and finds a key's shard by
 // ShardOf(key).
 //
-// Only the home's word makes a request with a key "not executed". A daemon that
-// relays such a request and refuses it by itself can't say so: an earlier copy
-// may stand still in a paused daemon and reach the home later. It asks the home
-// to Refuse() the key, and says unknown if the home can't be reached (guard
+// Only the home may declare a request with a key "not executed". A daemon that
+// relays such a request and refuses it can't do so by itself: an earlier copy
+// may be in a paused daemon and reach the home later. It asks the home to
+// Refuse() the key, and answers unknown if the home can't be reached (guard
 // HOME_HAS_LAST_WORD in spec/at_most_once.pml).
 template <typename Guards>
 class basic_key_home {
  public:
   explicit basic_key_home(const key_home_options& options);
 
-  // Issues `count` keys, or fewer if the bounds leave no more. An issued key
+  // Issues `count` keys, or fewer if the limits allow no more. An issued key
   // can start an execution within `lifetime`.
   issued_keys Issue(std::uint32_t count,
                     const std::string& caller,
                     milliseconds lifetime,
                     time_point now);
 
-  // Starts the key's execution, joins it, or tells what came of it. Another
-  // request under the same key is refused with kBadKey; that speaks for this
-  // request alone, the first one goes on.
+  // Starts the key's execution, joins it, or returns its result. A different
+  // request under the same key is refused with kBadKey; that applies to this
+  // request alone, the first one continues.
   home_action Begin(const begin_request& request, time_point now);
 
-  // Somebody refuses the key's request before it began. Settles the key as not
-  // executed, unless it began: then joins as Begin() does.
+  // A daemon refuses the key's request before it began. Settles the key as not
+  // executed, unless it has begun: then joins as Begin() does.
   home_action Refuse(const begin_request& request,
                      const outcome& refusal,
                      time_point now);
 
-  // Answers to place_attempt.
+  // Results of place_attempt.
   home_action Placed(const idempotency_key& key,
                      std::uint32_t attempt,
                      const daemon_ref& target,
@@ -162,13 +165,13 @@
                               const answer_envelope& answer,
                               time_point now);
 
-  // The copy that was asked for last never left this daemon: no connection
-  // could be made. Definite if it was the attempt's only copy.
+  // The last requested copy was never sent: no connection could be made.
+  // Definite if it was the only copy of the attempt.
   home_action AttemptNotSent(const idempotency_key& key,
                              std::uint32_t attempt,
                              time_point now);
 
-  // No answer came: the connection broke, or the time for one try is over.
+  // No answer arrived: the connection was lost, or the try timed out.
   home_action AttemptLost(const idempotency_key& key,
                           std::uint32_t attempt,
                           time_point now);
@@ -178,26 +181,26 @@
                              const answer_envelope& answer,
                              time_point now);
 
-  // The deadline of the execution has passed: all that wait are told at once.
+  // The deadline of the execution has passed: all waiters are answered at once.
   home_action DeadlinePassed(const idempotency_key& key, time_point now);
 
-  // A caller went away. Cancels the execution if nobody waits any more.
+  // A caller disconnected. Cancels the execution if no waiters are left.
   home_action RemoveWaiter(const idempotency_key& key, waiter_id waiter);
 
-  // Whether the key's request is under way and somebody may still be told.
+  // True if the key's execution is in progress: waiters may still be answered.
   [[nodiscard]] bool IsRunning(const idempotency_key& key) {
     const record_entry* entry = Find(key);
     return entry != nullptr && (entry->second.state == key_state::kPlacing ||
                                 entry->second.state == key_state::kSent);
   }
 
-  // Issues no more keys; those that are out keep working.
+  // Issues no more keys; keys that were already issued keep working.
   void StartDraining() { draining_ = true; }
-  // True when no key is left that could still start or that runs. Looks at
-  // every record.
+  // True if draining and no key is left that could still start or that runs.
+  // Scans all records.
   [[nodiscard]] bool drained() const;
 
-  // Drops what has expired.
+  // Removes expired keys.
   void Tick(time_point now);
 
   [[nodiscard]] std::size_t size() const { return records_.size(); }
@@ -210,35 +213,36 @@
 
  private:
   enum class key_state : std::uint8_t {
-    kIssued,    // Nothing has begun.
+    kIssued,    // Not begun.
     kPlacing,   // The daemon is choosing a target.
-    kSent,      // Bound to an executor; copies of the attempt are out.
-    kGaveUp,    // Callers were told unknown; a late result may still settle it.
+    kSent,      // Bound to an executor; copies of the attempt were sent.
+    kGaveUp,    // Callers received unknown; a late result can settle it.
     kFinished,  // `result` is final.
   };
 
-  // What only a running key needs.
+  // State that only a running key needs.
   struct running_execution {
     explicit running_execution(std::uint32_t credit) : ledger(credit) {}
 
     credit_ledger ledger;
     std::uint32_t attempt = 0;
-    std::uint32_t sends = 0;  // Of this attempt, since a caller last asked.
-    bool only_copy = true;    // No other copy of this attempt was ever sent.
-    std::uint32_t lent_credit = 0;  // Credit that went with this attempt.
+    // Of this attempt, since a caller last retried.
+    std::uint32_t sends = 0;
+    bool only_copy = true;  // No other copy of this attempt was ever sent.
+    std::uint32_t lent_credit = 0;  // Credit lent with this attempt.
     daemon_ref target;              // With kSent and kGaveUp.
     epoch_id epoch{};
-    std::vector<vm_id> tried;  // Definitely not executed there.
+    std::vector<vm_id> tried;  // Targets that definitely did not execute it.
     std::vector<waiter_id> waiters;
   };
 
-  // Keys that aren't settled, by the address of the caller they were issued to.
+  // Number of unsettled keys by the address of the caller they were issued to.
   using caller_map = std::unordered_map<std::string, std::size_t>;
 
   struct key_record {
     key_state state = key_state::kIssued;
-    bool evictable = false;  // Exactly if settled_ names it.
-    // In callers_; null exactly if the key was ever settled.
+    bool evictable = false;  // If and only if settled_ contains it.
+    // Entry of callers_; null if and only if the key was ever settled.
     caller_map::value_type* caller = nullptr;
     time_point expires;
     milliseconds lifetime{0};
@@ -259,17 +263,18 @@
     }
   };
 
-  // Number of bits that tell of dropped keys whether they had begun: at 20,000
-  // keys in 30 s it reaches back 26 minutes and takes 128 KiB, over all shards.
+  // Number of bits that record whether removed keys had begun: at 20,000 keys
+  // in 30 s they cover the last 26 minutes and take 128 KiB, over all shards.
   static constexpr std::size_t kBegunWindow = 1 << 20;
 
   [[nodiscard]] idempotency_key KeyOf(std::uint64_t sequence) const;
   [[nodiscard]] std::uint64_t IndexOf(std::uint64_t sequence) const;
   record_entry* Find(const idempotency_key& key);
-  // The key's record if it is at `attempt` and bound to an executor.
+  // Returns the key's record if it is at `attempt` and bound to an executor,
+  // else nullptr.
   record_entry* FindSent(const idempotency_key& key, std::uint32_t attempt);
 
-  // Moves time on; time that runs backwards is taken for standing still.
+  // Advances the time. Ignores a time that is earlier than the last one.
   void AdvanceTo(time_point now);
   bool EnsureCapacity(std::uint32_t count);
   void Insert(std::uint64_t sequence,
@@ -277,7 +282,7 @@
               milliseconds lifetime);
   void Erase(std::uint64_t sequence);
 
-  // What can be said of a key without a record.
+  // The outcome to report for a key without a record.
   outcome OutcomeOfMissing(const idempotency_key& key) const;
   static finish_call MakeFinishCall(const begin_request& request,
                                     const outcome& result);
@@ -300,20 +305,20 @@
 
   key_home_options options_;
   bool draining_ = false;
-  time_point now_;  // Never runs backwards.
+  time_point now_;  // Never goes backwards.
   record_map records_;
-  // Counts are never zero, and add up to the records that name a caller.
+  // Counts are never zero; their sum is the number of records with a caller.
   caller_map callers_;
-  // An entry for each record, at its expiry or earlier, the earliest on top.
+  // An entry for each record, at its expiry or earlier; the earliest on top.
   std::priority_queue<expiry, std::vector<expiry>, std::greater<>> expiries_;
-  // Keys that may be evicted, the longest settled first. May name keys that
-  // have gone.
+  // Keys that may be evicted, the least recently settled first. May contain
+  // removed keys.
   std::deque<std::uint64_t> settled_;
-  // Keys with kept answers, the oldest first. May name keys that have gone.
+  // Keys with stored answers, the oldest first. May contain removed keys.
   std::deque<std::uint64_t> answered_;
-  // Sum of the sizes of the answers kept in records_.
+  // Total size of the answers stored in records_.
   std::size_t answer_bytes_ = 0;
-  // Keys that ever began, by IndexOf().
+  // Whether a key has ever begun, by IndexOf().
   sequence_set begun_;
   key_home_counters counters_;
 };
--- a/include/once/sequence_set.h
+++ b/include/once/sequence_set.h
@@ -1,5 +1,4 @@
-// sequence_set: which of the last numbers of a sequence are marked, one bit
-// each.
+// sequence_set: a bitmap over the last numbers of a sequence.
 #pragma once
 
 #include <cstddef>
@@ -8,16 +7,16 @@
 
 namespace pistachioweir {
 
-// Covers the last `window` numbers that were opened; older ones count as
-// marked, since nothing is known of them. Numbers are opened in order, from
-// zero.
+// Covers the last `window` numbers that were appended; older ones count as
+// marked, since their state is no longer known. Numbers are appended in order,
+// from zero.
 class sequence_set {
  public:
   // `window` is rounded up to a multiple of 64.
   explicit sequence_set(std::size_t window)
       : words_((window + kWordBits - 1) / kWordBits) {}
 
-  // Opens the next number, unmarked, and returns it.
+  // Appends the next number, unmarked, and returns it.
   std::uint64_t Append() {
     const std::uint64_t number = end_++;
     Word(number) &= ~Bit(number);
@@ -52,7 +51,7 @@
   }
 
   std::vector<std::uint64_t> words_;  // Number n is bit n modulo the size.
-  std::uint64_t end_ = 0;             // The number that is opened next.
+  std::uint64_t end_ = 0;             // The next number to append.
 };
 
 }  // namespace pistachioweir
--- a/src/once/attempt_table.cc
+++ b/src/once/attempt_table.cc
@@ -1,4 +1,4 @@
-// Records of attempts by sender.
+// Attempt records by sender.
 #include "include/once/attempt_table.h"
 
 #include <utility>
@@ -33,8 +33,8 @@
   return attempt_verdict::kRefused;
 }
 
-// Guard ASK_TOMBSTONE in spec/peer_attempts.pml: what is denied here must not
-// start when its bytes arrive later.
+// Guard ASK_TOMBSTONE in spec/peer_attempts.pml: an attempt that is reported as
+// not run must not start when its bytes arrive later.
 attempt_verdict attempt_table::Query(const attempt_key& attempt) {
   const attempt_verdict verdict = Begin(attempt);
   if (verdict != attempt_verdict::kStart) {
--- a/src/once/executor_table.cc
+++ b/src/once/executor_table.cc
@@ -1,4 +1,4 @@
-// The executor table with all its guards.
+// Instantiates the executor table with all guards.
 #include "include/once/executor_table.h"
 
 #include "src/once/executor_table_impl.h"
--- a/src/once/executor_table_impl.h
+++ b/src/once/executor_table_impl.h
@@ -1,5 +1,5 @@
 // Implementation of basic_executor_table, for executor_table.cc and for tests
-// that instantiate it without one of its guards.
+// that instantiate it with a guard disabled.
 #pragma once
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 std::size_t basic_executor_table<Guards>::record_key_hash::operator()(
     const record_key& key) const {
   // Incarnations are random already; the multiplier (2^64 divided by the golden
-  // ratio) spreads neighbouring sequence numbers over all bits.
+  // ratio) distributes adjacent sequence numbers over all bits.
   constexpr std::uint64_t kHashMultiplier = 0x9e3779b97f4a7c15ULL;
   std::uint64_t hash = static_cast<std::uint64_t>(key.home);
   hash = (hash ^ key.sequence) * kHashMultiplier;
@@ -49,9 +49,9 @@
   }
   const auto current = static_cast<epoch_id>(
       static_cast<std::uint32_t>(1 + elapsed / options_.epoch_length));
-  // A thread that was held up between reading the clock and taking the lock
-  // brings an older time. Going back would accept attempts whose records are
-  // dropped, and they would run a second time.
+  // A thread that was preempted between reading the clock and taking the lock
+  // passes an older time. Going back would accept attempts whose records have
+  // been removed, and they would run a second time.
   if (current <= epoch_) {
     return;
   }
@@ -85,8 +85,8 @@
   if (unfinished.empty()) {
     return;
   }
-  // An attempt that still runs has its waiters in its record, so it moves to
-  // the present epoch's list and goes with that.
+  // An unfinished attempt has its waiters in its record, so the record moves to
+  // the list of the current epoch and is removed with that epoch.
   if (by_epoch_.empty() || by_epoch_.back().epoch != epoch_) {
     by_epoch_.push_back({.epoch = epoch_, .keys = {}});
   }
@@ -98,8 +98,9 @@
 bool basic_executor_table<Guards>::IsForOtherIncarnation(
     const execution_binding& attempt) {
   // Guard EXECUTOR_INCARNATION in spec/at_most_once.pml. An attempt that was
-  // sent to an earlier start of this daemon may have run there, where its
-  // record died; a copy that arrives now would run it again.
+  // sent to an earlier incarnation of this daemon may have run there, and its
+  // record was lost with that process; a copy that arrives now would run it
+  // again.
   if (!Guards::kExecutorIncarnation || attempt.executor == options_.self) {
     return false;
   }
@@ -110,7 +111,7 @@
 template <typename Guards>
 bool basic_executor_table<Guards>::IsEpochExpired(
     const execution_binding& attempt) {
-  // Guard EXECUTOR_EPOCH in spec/at_most_once.pml. A copy that was under way
+  // Guard EXECUTOR_EPOCH in spec/at_most_once.pml. A copy that was in transit
   // for longer than records are kept would find none and run again.
   if (!Guards::kExecutorEpoch || IsAcceptable(attempt.epoch)) {
     return false;
@@ -130,8 +131,8 @@
   }
   const record_key key = KeyOf(attempt);
   const auto found = records_.find(key);
-  // Guard EXECUTOR_DEDUP in spec/at_most_once.pml. A home that heard nothing
-  // sends again over a new connection, so both copies can arrive.
+  // Guard EXECUTOR_DEDUP in spec/at_most_once.pml. A home that received no
+  // answer resends over a new connection, so both copies can arrive.
   if (Guards::kExecutorDedup && found != records_.end()) {
     record& first = found->second;
     if (first.state == record_state::kFinished) {
@@ -150,8 +151,8 @@
   if (IsEpochExpired(attempt)) {
     return {.step = attempt_step::kAnswer, .result = Unknown(reason::kStale)};
   }
-  // Not definite: a table that is full now may have had room for an earlier
-  // copy, which ran and is answered.
+  // Not definite: the table is full now but may have accepted an earlier copy,
+  // which ran and was answered.
   if (records_.size() + options_.cancel_reserve >= options_.max_records) {
     ++counters_.busy;
     return {.step = attempt_step::kAnswer,
@@ -168,9 +169,9 @@
 template <typename Guards>
 bool basic_executor_table<Guards>::Start(const execution_binding& attempt) {
   const auto found = records_.find(KeyOf(attempt));
-  // Guard START_CHECK in spec/at_most_once.pml. The home was told that a
-  // cancelled attempt never runs and may have moved on, while the request still
-  // stands in this daemon's queue.
+  // Guard START_CHECK in spec/at_most_once.pml. The home was notified that a
+  // cancelled attempt never runs and may have tried another target, while the
+  // request is still in this daemon's queue.
   if (found == records_.end() ||
       found->second.state == record_state::kFinished) {
     return !Guards::kStartCheck;
@@ -199,9 +200,9 @@
     EraseRecord(key);
     return finished;
   }
-  // Guard REFUSAL_TOMBSTONE in spec/at_most_once.pml: a refusal is kept like
-  // any other result. The home moves on to another executor after it, and a
-  // late copy of this attempt would run here as well.
+  // Guard REFUSAL_TOMBSTONE in spec/at_most_once.pml: a refusal is stored like
+  // any other result. The home tries another executor after it, and a late copy
+  // of this attempt would run here as well.
   StoreResult(key, kept, result);
   return finished;
 }
@@ -216,7 +217,8 @@
   return records_[key];
 }
 
-// Only for tables without a guard; a real one forgets whole epochs.
+// Only for tables with a guard disabled; otherwise records are removed by
+// epoch.
 template <typename Guards>
 void basic_executor_table<Guards>::EraseRecord(const record_key& key) {
   const auto found = records_.find(key);
@@ -244,9 +246,9 @@
   DiscardOldAnswers();
 }
 
-// Answers are the only part of a record without a fixed size. Dropping the
-// oldest keeps the fact that the attempt ran, which is what prevents a second
-// execution; a copy that asks later is told so truthfully.
+// Answers are the only part of a record without a fixed size. Discarding the
+// oldest retains the fact that the attempt ran, which is what prevents a second
+// execution; a later copy receives kAnswerDiscarded.
 template <typename Guards>
 void basic_executor_table<Guards>::DiscardOldAnswers() {
   while (answer_bytes_ > options_.max_answer_bytes && !answered_.empty()) {
@@ -299,8 +301,8 @@
         .result = Unknown(reason::kTableFull), .running = false, .waiters = {}};
   }
   ++counters_.cancelled;
-  // Guard CANCEL_TOMBSTONE in spec/at_most_once.pml. The cancel has overtaken
-  // its attempt, which must find that it was cancelled when it comes.
+  // Guard CANCEL_TOMBSTONE in spec/at_most_once.pml. The cancel overtook its
+  // attempt, which must find the cancellation when it arrives.
   if (Guards::kCancelTombstone) {
     StoreResult(key, Insert(key), NotExecuted(reason::kCancelled));
   }
@@ -312,7 +314,7 @@
 template <typename Guards>
 void basic_executor_table<Guards>::Tick(time_point now) {
   AdvanceTo(now);
-  // Answers whose records have gone leave their keys behind.
+  // Removed records leave their keys in answered_.
   while (!answered_.empty() && !records_.contains(answered_.front())) {
     answered_.pop_front();
   }
--- a/src/once/fingerprint.cc
+++ b/src/once/fingerprint.cc
@@ -1,4 +1,4 @@
-// Hashes requests.
+// Request hashing with XXH3.
 #include "include/once/fingerprint.h"
 
 #include <xxhash.h>
@@ -12,8 +12,8 @@
   void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
 };
 
-// Each part goes in with its length, so that moving a byte from one part to the
-// next gives another hash.
+// Hashes each part with its length, so that moving a byte from one part to the
+// next changes the hash.
 void Add(XXH3_state_t* state, std::string_view part) {
   const std::uint64_t size = part.size();
   XXH3_128bits_update(state, &size, sizeof(size));
--- a/src/once/key_codec.cc
+++ b/src/once/key_codec.cc
@@ -1,5 +1,5 @@
-// Seals and opens keys: base64 of a MessagePack payload and its HMAC-SHA256,
-// cut to 128 bits.
+// Key text: base64 of a MessagePack payload and its HMAC-SHA256, truncated to
+// 128 bits.
 #include "include/once/key_codec.h"
 
 #include <openssl/crypto.h>
@@ -17,10 +17,12 @@
 namespace {
 
 constexpr std::size_t kTagBytes = 16;
-// Longest text that is looked at; a VM's name is at most 255 bytes.
+// Maximum length of a text that is decoded; the name of a VM is at most 255
+// bytes.
 constexpr std::size_t kMaxTextBytes = 512;
 constexpr std::uint64_t kMaxLifetimeMs = 24ULL * 3600 * 1000;
-// Keeps this use of the fleet's keys apart from their other uses.
+// Domain separation: keeps this use of the fleet's keys apart from their other
+// uses.
 constexpr std::string_view kPurpose = "pistachioweir/idempotency-key/1";
 
 using tag = std::array<unsigned char, kTagBytes>;
@@ -81,8 +83,8 @@
   }
   const std::size_t padding = text.ends_with("==") ? 2 : text.ends_with('=');
   bytes.resize(static_cast<std::size_t>(size) - padding);
-  // One key has one text: other spellings of the same bytes (white space, spare
-  // bits) are refused.
+  // Each key has exactly one text: other encodings of the same bytes (white
+  // space, spare bits) are rejected.
   if (ToBase64(bytes) != text) {
     return std::nullopt;
   }
@@ -131,8 +133,8 @@
   const std::string_view seal = signed_bytes.substr(payload.size());
   for (const std::string& fleet_key : fleet_keys_) {
     const tag expected = Sign(fleet_key, payload, scope);
-    // Takes the same time wherever the first difference is, so that a forger
-    // can't find the tag byte by byte.
+    // Constant-time comparison, so that a forger can't find the tag byte by
+    // byte from the position of the first difference.
     if (CRYPTO_memcmp(expected.data(), seal.data(), kTagBytes) == 0) {
       return ReadPayload(payload);
     }
--- a/src/once/key_home.cc
+++ b/src/once/key_home.cc
@@ -1,4 +1,4 @@
-// The key home with all its guards.
+// Instantiates the key home with all guards.
 #include "include/once/key_home.h"
 
 #include "src/once/key_home_impl.h"
--- a/src/once/key_home_impl.h
+++ b/src/once/key_home_impl.h
@@ -1,5 +1,5 @@
 // Implementation of basic_key_home, for key_home.cc and for tests that
-// instantiate it without one of its guards.
+// instantiate it with a guard disabled.
 #pragma once
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 namespace pistachioweir {
 
-// Whether another target may do better than the one that refused for `why`.
-// What is wrong with the request itself is wrong everywhere.
+// Whether another target may accept a request that one target refused for
+// `why`. An invalid request is refused by every target.
 inline bool IsRetryableElsewhere(reason why) {
   switch (why) {
     case reason::kNotReady:
@@ -46,9 +46,10 @@
 
 template <typename Guards>
 auto basic_key_home<Guards>::Find(const idempotency_key& key) -> record_entry* {
-  // Guard HOME_INCARNATION in spec/at_most_once.pml. An earlier start of this
-  // daemon issued the key and may have had it executed; the record died with
-  // it, and the same number here belongs to another request.
+  // Guard HOME_INCARNATION in spec/at_most_once.pml. An earlier incarnation of
+  // this daemon issued the key and may have had it executed; its record was
+  // lost with that process, and the same number here belongs to another
+  // request.
   if (Guards::kHomeIncarnation &&
       key.home.incarnation != options_.self.incarnation) {
     return nullptr;
@@ -71,8 +72,8 @@
 
 template <typename Guards>
 void basic_key_home<Guards>::AdvanceTo(time_point now) {
-  // A thread that was held up brings an older time, at which a key that was
-  // told "expired" could still start.
+  // A thread that was preempted passes an older time, at which a key that was
+  // reported as expired could still start.
   now_ = std::max(now_, now);
 }
 
@@ -106,9 +107,9 @@
   return issued;
 }
 
-// Settled keys give way to new ones: callers wait for keys, while a settled
-// one is asked about only after a lost answer. Whoever asks then is told
-// truthfully that the answer is gone.
+// Evicts settled keys to make room for new ones: callers wait for new keys, but
+// query a settled one only after they lost its answer. Such a query receives
+// kAnswerDiscarded.
 template <typename Guards>
 bool basic_key_home<Guards>::EnsureCapacity(std::uint32_t count) {
   while (records_.size() + count > options_.max_keys && !settled_.empty()) {
@@ -165,9 +166,9 @@
       index >= begun_.end()) {
     return NotExecuted(reason::kBadKey);
   }
-  // Guard FORGOTTEN_KEY in spec/at_most_once.pml. A key that began and lost its
-  // record looks like one that expired unused; starting it runs it twice, and
-  // calling it "not executed" is a lie.
+  // Guard FORGOTTEN_KEY in spec/at_most_once.pml. A key that began and whose
+  // record was removed looks like one that expired unused; starting it would
+  // run it twice, and "not executed" would be false.
   if (begun_.IsMarked(index)) {
     return Unknown(reason::kAnswerDiscarded);
   }
@@ -197,7 +198,7 @@
     if (!forgotten && !foreign) {
       return MakeFinishCall(request, judged);
     }
-    // Only without one of these guards: takes the key for a fresh one.
+    // Only with one of these guards disabled: treats the key as a new one.
     Insert(request.key.sequence, *callers_.try_emplace("", 0).first,
            milliseconds(1000));
     entry = Find(request.key);
@@ -232,9 +233,9 @@
     return MakeFinishCall(request, NotExecuted(reason::kBadKey));
   }
   if (record.state == key_state::kFinished) {
-    // Guard FINAL_REFUSAL in spec/at_most_once.pml. The caller that was told
-    // "not executed" may have given the request up or sent it under another
-    // key; a copy that a paused daemon lets go later must not run.
+    // Guard FINAL_REFUSAL in spec/at_most_once.pml. The caller that received
+    // "not executed" may have abandoned the request or sent it under another
+    // key; a copy that arrives later from a paused daemon must not run.
     if (!Guards::kFinalRefusal &&
         record.result->kind == outcome_kind::kNotExecuted) {
       record.result.reset();
@@ -246,8 +247,8 @@
   if (record.state == key_state::kGaveUp) {
     return ResendForResult(entry, request);
   }
-  // Guard HOME_JOIN in spec/at_most_once.pml. Callers send again after silence,
-  // often while the first copy still runs.
+  // Guard HOME_JOIN in spec/at_most_once.pml. Callers that receive no answer
+  // resend, often while the first copy still runs.
   if (!Guards::kHomeJoin) {
     return BeginIssued(entry, request);
   }
@@ -259,9 +260,9 @@
   return no_action{};
 }
 
-// The execution's callers were told unknown, and one of them asks again. A copy
-// of the same attempt fetches the result from the executor, or runs there if no
-// earlier copy came through; either way there is one execution.
+// The callers received an unknown outcome, and one of them retries. A copy of
+// the same attempt fetches the result from the executor, or runs there if no
+// earlier copy arrived; either way there is one execution.
 template <typename Guards>
 home_action basic_key_home<Guards>::ResendForResult(
     record_entry& entry,
@@ -366,9 +367,9 @@
     return no_action{};
   }
   running_execution& running = *entry->second.running;
-  // Guard ANSWER_INCARNATION in spec/at_most_once.pml. Whatever another start
-  // of the executor says, the one that the attempt was bound to may have run
-  // it before it died.
+  // Guard ANSWER_INCARNATION in spec/at_most_once.pml. Whatever another
+  // incarnation of the executor answers, the one that the attempt was bound to
+  // may have run it before it crashed.
   if (Guards::kAnswerIncarnation &&
       answer.executor != running.target.incarnation) {
     return GiveUp(*entry, reason::kStale, false);
@@ -383,7 +384,7 @@
   // run while its epoch was current.
   const bool stale = result.why == reason::kStale;
   // Guard BUSY_NOT_DEFINITE in spec/at_most_once.pml: an earlier copy may have
-  // run and left, or stand in the network until the table has room.
+  // run and its record been removed, or be in transit until the table has room.
   const bool busy =
       result.why == reason::kTableFull && result.kind == outcome_kind::kUnknown;
   const bool definite = result.kind == outcome_kind::kNotExecuted ||
@@ -410,8 +411,8 @@
     return no_action{};
   }
   running_execution& running = *entry->second.running;
-  // Guard ONLY_COPY in spec/at_most_once.pml. That this copy wasn't sent says
-  // nothing of one that was sent before it.
+  // Guard ONLY_COPY in spec/at_most_once.pml. That this copy wasn't sent
+  // implies nothing about a copy that was sent before it.
   const bool definite = running.only_copy || !Guards::kOnlyCopy;
   if (!definite || entry->second.state == key_state::kGaveUp) {
     return AttemptLost(key, attempt, now);
@@ -430,16 +431,16 @@
   if (entry == nullptr) {
     return no_action{};
   }
-  // Guard MOVE_ON_DEFINITE in spec/at_most_once.pml. Silence doesn't tell
-  // whether the attempt runs, ran, or is still on its way.
+  // Guard MOVE_ON_DEFINITE in spec/at_most_once.pml. A missing answer doesn't
+  // show whether the attempt is running, has run, or is in transit.
   if (!Guards::kMoveOnDefinite) {
     return TryNextTarget(*entry, NotExecuted(reason::kConnectionLost));
   }
   return Resend(*entry, milliseconds(0), reason::kConnectionLost);
 }
 
-// A copy goes to the same executor, which runs at most one of them. That is the
-// way out of a connection that has gone silent.
+// Resends the attempt to the same executor, which runs at most one copy. This
+// recovers from a connection that has stalled.
 template <typename Guards>
 home_action basic_key_home<Guards>::Resend(record_entry& entry,
                                            milliseconds delay,
@@ -460,7 +461,7 @@
                       .delay = delay};
 }
 
-// The attempt definitely didn't run and never will.
+// Called if the attempt definitely did not run and never will.
 template <typename Guards>
 home_action basic_key_home<Guards>::TryNextTarget(record_entry& entry,
                                                   const outcome& refusal) {
@@ -578,7 +579,7 @@
   record.state = key_state::kFinished;
   record.running.reset();
   record.result = std::make_unique<outcome>(result);
-  // A caller whose answer was lost has a whole lifetime to ask again.
+  // A caller whose answer was lost has a full lifetime to retry.
   record.expires = std::max(record.expires, now_ + record.lifetime);
   MarkSettled(entry);
   if (result.reply.body.empty()) {
@@ -644,7 +645,7 @@
     const key_state state = found->second.state;
     const bool busy = state == key_state::kPlacing || state == key_state::kSent;
     if (found->second.expires > now_ || busy) {
-      // Looked at again when it can be over at the earliest.
+      // Checks again at the earliest time at which it can have expired.
       const duration pause = std::max(found->second.lifetime, milliseconds(1));
       expiries_.push({.at = std::max(found->second.expires, now_ + pause),
                       .sequence = sequence});
@@ -656,7 +657,7 @@
 }
 
 // Evicted and expired keys leave their numbers in the queues. Under a flood of
-// short requests these would outgrow the records themselves.
+// short requests the queues would outgrow the records.
 template <typename Guards>
 void basic_key_home<Guards>::CompactQueues() {
   const std::size_t max_entries = 2 * records_.size() + 64;
--- a/tests/at_most_once_property_test.cc
+++ b/tests/at_most_once_property_test.cc
@@ -1,5 +1,5 @@
-// Random schedules of faults against the real protocol classes, whole and with
-// each guard taken out.
+// Random schedules of faults against the real protocol classes, with all guards
+// and with each guard disabled.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -13,7 +13,7 @@
 namespace pistachioweir {
 namespace {
 
-// All guards of the protocol, with the relaying daemons' own.
+// All guards of the protocol, and that of the relaying daemons.
 struct all_guards : once_guards {
   static constexpr bool kHomeHasLastWord = true;
 };
@@ -21,8 +21,8 @@
 rc::Gen<network_step> AnyStep() {
   constexpr auto kCount = static_cast<std::uint32_t>(network_op::kCount);
   const auto op = rc::gen::map(rc::gen::inRange<std::uint32_t>(0, 2 * kCount),
-                               // Half of all steps take something further, or
-                               // nothing would ever come to an end.
+                               // Half of all steps make progress, or no request
+                               // would ever finish.
                                [](std::uint32_t number) {
                                  if (number < kCount) {
                                    return static_cast<network_op>(number);
@@ -67,17 +67,17 @@
   return std::nullopt;
 }
 
-// Messages are lost, doubled, late and out of order, daemons restart with empty
-// memory, are paused or cut off, callers send again and other bodies under the
-// same key. No request runs twice, none that ran is told "not executed", and
-// every answer is the request's own.
+// Messages are lost, duplicated, delayed and reordered; daemons restart with
+// empty memory, are paused or partitioned; callers resend, and send other
+// bodies under the same key. No request runs twice, none that ran is reported
+// as not executed, and every answer belongs to its request.
 RC_GTEST_PROP(AtMostOnceTest, HoldsUnderRandomFaults, ()) {
   const auto schedule = *AnySchedule();
   RC_ASSERT(FirstViolation<all_guards>(schedule).value_or("") == "");
 }
 
-// The schedules must get to what they are meant for, or the property above says
-// nothing.
+// The schedules must reach the states that they are meant to test, or the
+// property above is vacuous.
 TEST(AtMostOnceTest, SchedulesReachAllOutcomes) {
   constexpr std::uint64_t kOften = 20;
   network_coverage sum;
@@ -111,7 +111,7 @@
   EXPECT_GT(sum.discarded, kOften);
 }
 
-// Whether the schedules find a breach without one of the guards.
+// Whether the schedules find a violation with one of the guards disabled.
 template <typename Guards>
 bool IsCaught() {
   const auto result = rc::detail::checkTestable(
@@ -195,7 +195,7 @@
                                          no_home_has_last_word>;
 TYPED_TEST_SUITE(without_guard_test, weakened_variants);
 
-// Somebody takes a guard for needless and removes it.
+// Removing any guard as redundant must be detected.
 TYPED_TEST(without_guard_test, IsCaught) {
   EXPECT_TRUE(IsCaught<TypeParam>());
 }
--- a/tests/attempt_table_test.cc
+++ b/tests/attempt_table_test.cc
@@ -1,4 +1,4 @@
-// The memory of attempts beside a target.
+// Tests of the attempt records beside a target.
 #include "include/once/attempt_table.h"
 
 #include <gtest/gtest.h>
@@ -29,10 +29,10 @@
   EXPECT_EQ(*table.AnswerOf(attempt), "done");
 }
 
-// The bytes of an attempt are held up on a connection that was cut off. Its
-// sender asked over another one, was told that the attempt hasn't run, and sent
-// the request elsewhere. Would it start when its bytes arrive at last, a
-// tenancy would be signed twice.
+// The bytes of an attempt are delayed on a broken connection. Its sender
+// queried it over another one, received "not executed" and sent the request
+// elsewhere. If the attempt started when its bytes arrive, a tenancy would be
+// signed twice.
 TEST(AttemptTableTest, RefusedAttemptNeverStarts) {
   attempt_table table;
   const attempt_key attempt{.sender = kSender, .number = 1};
@@ -41,7 +41,7 @@
   EXPECT_EQ(table.Query(attempt), attempt_verdict::kRefused);
 }
 
-// Likewise for an attempt that its sender has already settled.
+// The same for an attempt that its sender has settled.
 TEST(AttemptTableTest, SettledAttemptNeverStarts) {
   attempt_table table;
   table.Settle(kSender, 5);
@@ -80,8 +80,8 @@
   EXPECT_EQ(table.senders(), 0U);
 }
 
-// Attempts come doubled, late and in any order, mixed with questions and
-// settling. None starts twice, and none starts after it was denied.
+// Attempts arrive duplicated, late and in any order, interleaved with queries
+// and settling. None starts twice, and none starts after it was refused.
 RC_GTEST_PROP(AttemptTableTest, NeverStartsTwiceNorAfterARefusal, ()) {
   attempt_table table;
   std::map<std::uint64_t, int> starts;
--- a/tests/executor_table_test.cc
+++ b/tests/executor_table_test.cc
@@ -50,8 +50,8 @@
   EXPECT_EQ(late.result.reply.body, "xx");
 }
 
-// A daemon dies and comes back on the same address with an empty table. A copy
-// that was sent to the one before must not run again.
+// A daemon crashes and restarts on the same address with an empty table. A copy
+// that was sent to the previous incarnation must not run again.
 TEST(ExecutorTableTest, AttemptForAnotherIncarnationIsStale) {
   auto table = MakeTable();
   auto attempt = Attempt(1);
@@ -63,9 +63,8 @@
   EXPECT_EQ(table.Cancel(attempt, kStart).result.kind, outcome_kind::kUnknown);
 }
 
-// A copy stands in the network for longer than the record of the first one is
-// kept. It finds no record; only its old epoch tells that there may have been
-// one.
+// A copy is in transit for longer than the record of the first one is kept. It
+// finds no record; only its old epoch shows that there may have been one.
 TEST(ExecutorTableTest, CopyAfterItsRecordExpiredIsStale) {
   auto table = MakeTable();
   table.Accept(Attempt(1), waiter_id{1}, kStart);
@@ -81,9 +80,9 @@
   EXPECT_EQ(table.answer_bytes(), 0U);
 }
 
-// A thread reads the clock, is held up past the end of an epoch, and gets the
-// lock with the old time. The records are gone, so the old epoch must stay
-// over.
+// A thread reads the clock, is preempted past the end of an epoch, and takes
+// the lock with the old time. The records have been removed, so the old epoch
+// must not become acceptable again.
 TEST(ExecutorTableTest, OlderTimeDoesNotReopenAnEpoch) {
   auto table = MakeTable();
   table.Accept(Attempt(1), waiter_id{1}, kStart);
@@ -93,8 +92,8 @@
   EXPECT_EQ(late.result.why, reason::kStale);
 }
 
-// A request runs for longer than two epochs. Its waiters must still be answered
-// and its copies must still join it.
+// A request runs for longer than two epochs. Its waiters must still be
+// answered, and copies must still join it.
 TEST(ExecutorTableTest, RunningAttemptOutlivesItsEpoch) {
   auto table = MakeTable();
   table.Accept(Attempt(1), waiter_id{1}, kStart);
@@ -109,9 +108,9 @@
   EXPECT_EQ(table.size(), 0U);
 }
 
-// The home gives up on silence and cancels; the cancel overtakes the attempt.
+// The home receives no answer and cancels; the cancel overtakes the attempt.
 // The home then runs the request elsewhere, so the attempt must find the
-// cancel.
+// cancellation.
 TEST(ExecutorTableTest, EarlyCancelLeavesATombstone) {
   auto table = MakeTable();
   EXPECT_EQ(table.Cancel(Attempt(1), kStart).result.kind,
@@ -121,8 +120,8 @@
   EXPECT_EQ(late.result.kind, outcome_kind::kNotExecuted);
 }
 
-// A cancel comes while the attempt stands in the queue. The queue hands it out
-// a moment later; it must not reach the target.
+// A cancel arrives while the attempt is queued. The queue dispatches it
+// afterwards; it must not reach the target.
 TEST(ExecutorTableTest, CancelledAttemptIsNotStarted) {
   auto table = MakeTable();
   table.Accept(Attempt(1), waiter_id{1}, kStart);
@@ -144,8 +143,8 @@
 }
 
 // The target's VM is overloaded and refuses; the home runs the request
-// elsewhere. A second copy of the refused attempt arrives when there is room
-// again.
+// elsewhere. A second copy of the refused attempt arrives when there is
+// capacity again.
 TEST(ExecutorTableTest, RefusalIsFinal) {
   auto table = MakeTable();
   table.Accept(Attempt(1), waiter_id{1}, kStart);
@@ -156,9 +155,9 @@
   EXPECT_EQ(late.result.kind, outcome_kind::kNotExecuted);
 }
 
-// More attempts than the table holds come within two epochs. The ones that find
-// no room may be copies of ones that ran, so "busy" must not say otherwise; and
-// homes must still be able to cancel.
+// More attempts arrive within two epochs than the table can hold. Those that
+// don't fit may be copies of attempts that ran, so "busy" must not report them
+// as not executed, and homes must still be able to cancel.
 TEST(ExecutorTableTest, FullTableIsBusyAndStillAcceptsCancels) {
   auto table = MakeTable(4);
   table.Accept(Attempt(1), waiter_id{1}, kStart);
@@ -185,8 +184,9 @@
   EXPECT_EQ(fourth.result.kind, outcome_kind::kUnknown);
 }
 
-// Large answers fill the room for answers before their epoch ends. A copy that
-// asks for a dropped one must neither run again nor be told that nothing ran.
+// Large answers exceed the limit on stored answers before their epoch ends. A
+// copy whose answer was discarded must neither run again nor be reported as not
+// executed.
 TEST(ExecutorTableTest, DiscardedAnswerIsUnknown) {
   auto table = MakeTable();
   for (std::uint64_t i = 1; i <= 3; ++i) {
--- a/tests/key_codec_test.cc
+++ b/tests/key_codec_test.cc
@@ -1,4 +1,4 @@
-// Tests of keys as text.
+// Tests of the text encoding of keys.
 #include "include/once/key_codec.h"
 
 #include <gtest/gtest.h>
@@ -23,9 +23,9 @@
   EXPECT_EQ(codec.Open(codec.Seal(SampleKey(), kScope), kScope), SampleKey());
 }
 
-// A caller takes a key that it was given for a cheap method and sends it with a
-// protected one. Without the scope in the seal the home's table would hold one
-// caller's key for another method's request.
+// A caller sends a key that was issued for an inexpensive method with a
+// protected one. If the HMAC did not cover the scope, the home's table would
+// hold a key of one method for a request of another.
 TEST(KeyCodecTest, IsBoundToServiceAndMethod) {
   const key_codec codec({"first"});
   const std::string text = codec.Seal(SampleKey(), kScope);
@@ -34,8 +34,8 @@
   EXPECT_FALSE(codec.Open(text, {.service = "contractss", .method = "ign"}));
 }
 
-// The fleet's key is replaced while keys of callers live. Daemons that have
-// only begun to sign with the new one must still open the old ones.
+// The fleet's key is rotated while callers hold valid keys. Daemons that
+// already sign with the new one must still open keys signed with the old one.
 TEST(KeyCodecTest, RotatesFleetKeys) {
   const key_codec before({"old"});
   const key_codec during({"new", "old"});
@@ -51,8 +51,8 @@
   EXPECT_THROW(key_codec({}), std::invalid_argument);
 }
 
-// Somebody changes one character of a key, or makes a key up. It must be
-// refused by whichever daemon sees it, or a caller could run as another.
+// A caller alters one character of a key, or forges one. Every daemon must
+// refuse it, or a caller could run under the key of another.
 RC_GTEST_PROP(KeyCodecTest, AlteredTextIsRefused, ()) {
   const key_codec codec({"first"});
   std::string text = codec.Seal(SampleKey(), kScope);
--- a/tests/key_home_test.cc
+++ b/tests/key_home_test.cc
@@ -81,8 +81,8 @@
   EXPECT_EQ(again.result.reply.body, "xx");
 }
 
-// The caller hears nothing for a while and sends again, through another daemon,
-// while the first copy still runs.
+// The caller receives no answer and resends through another daemon while the
+// first copy still runs.
 TEST_F(key_home_test, SecondCopyJoinsTheRunningOne) {
   const auto key = IssueOne();
   BeginAt(key);
@@ -93,8 +93,8 @@
   EXPECT_EQ(done.waiters.size(), 2U);
 }
 
-// A caller reuses a key for another request by mistake. Answering it with the
-// first request's answer would hand it somebody else's result.
+// A caller reuses a key for another request by mistake. Replaying the answer of
+// the first request would return the wrong result.
 TEST_F(key_home_test, DifferentBodyUnderTheKeyIsRefused) {
   const auto key = IssueOne();
   BeginAt(key);
@@ -120,8 +120,9 @@
   EXPECT_EQ(sent.credit, 1U);
 }
 
-// The connection breaks after the request was sent. The executor may be running
-// it, so the home asks the same one again, then says unknown and cancels.
+// The connection is lost after the request was sent. The executor may be
+// running it, so the home resends to the same executor, then answers unknown
+// and cancels.
 TEST_F(key_home_test, NoAnswerNeverMovesToAnotherTarget) {
   const auto key = IssueOne();
   const auto first = BeginAt(key);
@@ -134,8 +135,8 @@
   EXPECT_EQ(finish.cancel->target, "vm-1");
 }
 
-// The VM is gone and refuses connections. Nothing was sent, so another target
-// can have the request at once.
+// The VM is down and refuses connections. Nothing was sent, so another target
+// can get the request at once.
 TEST_F(key_home_test, TriesAnotherTargetIfNothingWasSent) {
   const auto key = IssueOne();
   BeginAt(key);
@@ -143,7 +144,7 @@
       home_.AttemptNotSent(key, 1, kStart)));
 }
 
-// The first copy was sent and its connection broke; then the VM refuses
+// The first copy was sent and its connection was lost; then the VM refuses
 // connections. The first copy may have run.
 TEST_F(key_home_test, UnreachableVmIsNotDefiniteAfterAnEarlierCopy) {
   const auto key = IssueOne();
@@ -154,9 +155,9 @@
   EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
 }
 
-// The deadline passes while the request may run, and the caller asks again. By
-// now the VM refuses connections; that the second copy wasn't sent says nothing
-// of the first. Found by a random schedule.
+// The deadline passes while the request may run, and the caller retries. By now
+// the VM refuses connections; that the second copy wasn't sent implies nothing
+// about the first. Found by a random schedule.
 TEST_F(key_home_test, UnsentCopyAfterACallerRetryIsNotDefinite) {
   const auto key = IssueOne();
   BeginAt(key);
@@ -166,8 +167,8 @@
   EXPECT_FALSE(std::holds_alternative<place_attempt>(next));
 }
 
-// The executor dies while it runs the request, and a new start of it on the
-// same address refuses the copy.
+// The executor crashes while it runs the request, and its new incarnation on
+// the same address refuses the copy.
 TEST_F(key_home_test, RefusalOfAnotherIncarnationIsUnknown) {
   const auto key = IssueOne();
   BeginAt(key);
@@ -193,8 +194,8 @@
   EXPECT_GT(copy.delay, milliseconds(0));
 }
 
-// The deadline passes while the request may run. The caller is told at once;
-// when it asks again, the executor is asked for what came of it.
+// The deadline passes while the request may run. The caller is answered at
+// once; when it retries, the home fetches the result from the executor.
 TEST_F(key_home_test, CallerRetryReturnsALateResult) {
   const auto key = IssueOne();
   BeginAt(key);
@@ -219,8 +220,8 @@
       home_.Placed(key, 1, kFirst, epoch_id{3})));
 }
 
-// A caller is refused and gives up, or sends its request under a fresh key. A
-// first copy, which stood still in a paused daemon, arrives after that.
+// A caller is refused and gives up, or sends its request under a new key. An
+// earlier copy, delayed in a paused daemon, arrives after that.
 TEST_F(key_home_test, RefusedKeyNeverStarts) {
   const auto key = IssueOne();
   home_.Refuse(Request(key), NotExecuted(reason::kOverload, milliseconds(50)),
@@ -237,8 +238,9 @@
       home_.Refuse(Request(key, 2), NotExecuted(reason::kOverload), kStart)));
 }
 
-// A caller holds a key for too long, or its key's record was dropped for room.
-// The first never ran, the second may have; they must not be told the same.
+// A caller uses an expired key, or a key whose record was removed. The request
+// of the first never ran, that of the second may have; the outcomes must
+// differ.
 TEST_F(key_home_test, ExpiredAndEvictedKeysHaveDifferentOutcomes) {
   const auto unused = IssueOne();
   const auto used = IssueOne();
@@ -257,7 +259,8 @@
   EXPECT_EQ(forgotten.result.why, reason::kAnswerDiscarded);
 }
 
-// The home's daemon restarts, and a caller still holds a key of its last life.
+// The home's daemon restarts while a caller still holds a key of the previous
+// incarnation.
 TEST_F(key_home_test, KeyOfAnEarlierIncarnationIsUnknown) {
   auto key = IssueOne();
   key.home.incarnation = incarnation_id{2};
@@ -271,7 +274,7 @@
   EXPECT_EQ(finish.result.why, reason::kBadKey);
 }
 
-// One caller fetches keys without end. Others must still get theirs.
+// One caller requests keys without limit. Other callers must still get theirs.
 TEST_F(key_home_test, OneCallerCannotExhaustTheKeys) {
   EXPECT_EQ(home_.Issue(1000, "10.0.0.1", kLifetime, kStart).keys.size(), 10U);
   const auto refused = home_.Issue(1, "10.0.0.1", kLifetime, kStart);
@@ -284,8 +287,8 @@
       1U);
 }
 
-// A gateway sends all its users' requests from one address. Keys that are done
-// with must not count against it.
+// A gateway sends the requests of all its users from one address. Settled keys
+// must not count against it.
 TEST_F(key_home_test, SettledKeysDoNotCountAgainstTheCaller) {
   for (int i = 0; i < 50; ++i) {
     const auto key = IssueOne();
@@ -324,7 +327,7 @@
   EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
 }
 
-// A caller goes away; nobody waits for the result any more.
+// All callers disconnect, so no one waits for the result.
 TEST_F(key_home_test, LastCallerDisconnectCancels) {
   const auto key = IssueOne();
   BeginAt(key);
@@ -340,7 +343,7 @@
   EXPECT_EQ(again.result.why, reason::kCancelled);
 }
 
-// A planned stop: keys that callers hold keep working, new ones are refused.
+// A planned stop: keys that were issued keep working, new ones are refused.
 TEST_F(key_home_test, DrainingHomeServesItsKeysUntilTheyExpire) {
   const auto key = IssueOne();
   const auto unused = IssueOne();
@@ -359,7 +362,7 @@
   BeginAt(key);
   std::uint32_t attempt = 1;
   home_action next;
-  // The executors hand back all the credit that they were lent.
+  // The executors return all the credit that they were lent.
   while (true) {
     next = home_.AttemptAnswered(
         key, attempt, From(kFirst, NotExecuted(reason::kOverload), 100),
--- a/tests/support/once_network.h
+++ b/tests/support/once_network.h
@@ -1,8 +1,8 @@
-// once_network: callers, relaying daemons, one home and three executors of the
-// real protocol classes, joined by a network that loses, doubles, delays and
-// reorders messages. A schedule of steps decides what happens next; after each
-// step the promises are checked from what the targets ran and what callers were
-// told.
+// once_network: simulates callers, relaying daemons, one home and three
+// executors of the real protocol classes, connected by a network that loses,
+// duplicates, delays and reorders messages. A schedule of steps determines what
+// happens; after each step the invariants are checked against what the targets
+// ran and which outcomes the callers received.
 #pragma once
 
 #include <array>
@@ -46,18 +46,19 @@
 
 struct network_step {
   network_op op = network_op::kDeliver;
-  std::uint32_t pick = 0;  // Which message, request or daemon it is about.
+  std::uint32_t pick = 0;  // Selects the message, request or daemon.
   std::uint32_t bits = 0;  // Further choices.
 };
 
-// Prints a step of a schedule that failed; the property library looks for this
+// Prints a step of a failed schedule; RapidCheck finds this function by its
 // name.
 inline void showValue(const network_step& step, std::ostream& out) {
   out << "{" << static_cast<int>(step.op) << ", " << step.pick << ", "
       << step.bits << "}";
 }
 
-// What a run got to, to show that the schedules reach what they are meant for.
+// Events that a run reached, to show that the schedules cover what they are
+// meant to test.
 struct network_coverage {
   std::uint64_t completed = 0;
   std::uint64_t not_executed = 0;
@@ -71,8 +72,8 @@
   std::uint64_t discarded = 0;
 };
 
-// `Guards` is once_guards, or has one taken out; besides those it has
-// kHomeHasLastWord, which is the relaying daemons'.
+// `Guards` is once_guards, or has one disabled; it also has kHomeHasLastWord,
+// the guard of the relaying daemons.
 template <typename Guards>
 class once_network {
  public:
@@ -85,7 +86,7 @@
 
   void Run(const network_step& step);
 
-  // The first promise that was broken, or nothing.
+  // The first violated invariant, if any.
   [[nodiscard]] const std::optional<std::string>& violation() const {
     return violation_;
   }
@@ -97,7 +98,7 @@
   static constexpr std::size_t kMaxRequests = 1000;
   static constexpr milliseconds kLifetime{20000};
 
-  // One thing that a caller wants done, under one key.
+  // A request of a caller, under one key.
   struct request {
     idempotency_key key;
     std::string body;
@@ -139,13 +140,14 @@
     std::vector<admitted_attempt> queue;
     std::vector<admitted_attempt> running;
     bool paused = false;
-    bool partitioned = false;  // From the home.
-    // What the home believes of it.
+    bool partitioned = false;  // Partitioned from the home.
+    // The state of the executor as last received by the home.
     incarnation_id known_incarnation{};
     epoch_id known_epoch{};
   };
 
-  // Mostly the present; sometimes the past, read by a thread that was held up.
+  // Mostly the current time; sometimes an earlier one, as read by a thread that
+  // was preempted.
   [[nodiscard]] time_point Now(std::uint32_t bits) const {
     return bits % 8 == 0 ? now_ - seconds(bits % 30) : now_;
   }
@@ -188,10 +190,10 @@
   std::array<executor, kExecutors> executors_;
   std::vector<request> requests_;
   std::vector<message> network_;
-  // Callers that the present home or an executor has waiting.
+  // Callers that wait at the current home or at an executor.
   std::map<std::uint64_t, std::size_t> waiting_requests_;
   std::map<std::uint64_t, attempt_message> waiting_attempts_;
-  // The request that the home began for a key, and its attempt.
+  // The request that the home began for a key, and its current attempt.
   std::map<idempotency_key, std::size_t> begun_;
   std::map<idempotency_key, std::uint32_t> attempts_;
   std::optional<std::string> violation_;
--- a/tests/support/once_network_impl.h
+++ b/tests/support/once_network_impl.h
@@ -138,7 +138,7 @@
 template <typename Guards>
 void once_network<Guards>::SendCopy(const network_step& step, bool refused) {
   if (!requests_.empty()) {
-    // Mostly one of the latest, so that copies meet while the key lives.
+    // Mostly one of the latest, so that copies meet while the key is valid.
     const std::size_t back = step.pick % (step.bits % 4 == 0 ? 300 : 6);
     const std::size_t last = requests_.size() - 1;
     network_.push_back(caller_message{.request = last - std::min(back, last),
@@ -146,7 +146,7 @@
   }
 }
 
-// A second request under the key of another one.
+// Sends a second request under the key of another one.
 template <typename Guards>
 void once_network<Guards>::ReuseKey(const network_step& step) {
   if (requests_.empty() || requests_.size() >= kMaxRequests ||
@@ -232,7 +232,7 @@
 void once_network<Guards>::Receive(const attempt_message& received,
                                    std::uint32_t bits) {
   executor& to = executors_[received.executor];
-  // A daemon that has just started may refuse before it looks at its table.
+  // A daemon that has just started may refuse before it consults its table.
   if (received.binding.executor != to.self && bits % 2 == 0) {
     return Answer(received, NotExecuted(reason::kNotReady));
   }
@@ -360,7 +360,7 @@
                  crash ? Unknown(reason::kTargetFailed) : completed);
 }
 
-// Something happens at the home to one of the keys that it began.
+// An event at the home for one of the keys that it began.
 template <typename Guards>
 void once_network<Guards>::ChooseKeyEvent(const network_step& step) {
   if (begun_.empty()) {
@@ -381,7 +381,7 @@
   }
 }
 
-// The caller that has waited longest for `key` goes away.
+// Disconnects the caller that has waited longest for `key`.
 template <typename Guards>
 void once_network<Guards>::DisconnectCaller(const idempotency_key& key) {
   for (const auto& [waiter, index] : waiting_requests_) {
@@ -414,7 +414,7 @@
   attempts_[place.key] = place.attempt;
   if (place.attempt > kCredit + 1 && Guards::kHomeJoin &&
       Guards::kFinalRefusal) {
-    violation_ = "an attempt beyond the retry credit";
+    violation_ = "an attempt exceeded the retry credit";
   }
   if (bits % 16 == 1) {
     return Execute(home_->NotPlaced(place.key, place.attempt,
@@ -423,7 +423,7 @@
   }
   const std::size_t index = bits % kExecutors;
   const executor& to = executors_[index];
-  // Mostly a fresh view of the executor, sometimes an old one.
+  // Mostly the current state of the executor, sometimes an outdated one.
   const bool old = bits % 8 == 2;
   const daemon_ref target{.vm = std::to_string(index),
                           .incarnation = old ? to.known_incarnation : to.self};
@@ -435,7 +435,7 @@
 template <typename Guards>
 void once_network<Guards>::Send(const send_attempt& send) {
   const std::size_t index = IndexOf(send.target);
-  // Connections over a cut fail before anything is sent.
+  // Connections across a partition fail before anything is sent.
   if (executors_[index].partitioned) {
     return Execute(
         home_->AttemptNotSent(send.binding.key, send.binding.attempt, now_),
@@ -491,10 +491,10 @@
     violation_ = "a request ran twice";
   }
   if (checked.reported_not_executed && checked.ran > 0) {
-    violation_ = "a request that ran was told not executed";
+    violation_ = "a request that ran was reported as not executed";
   }
   if (checked.reported_completed && checked.ran == 0) {
-    violation_ = "a request that never ran was told completed";
+    violation_ = "a request that never ran was reported as completed";
   }
 }
 
