--- a/include/once/attempt_table.h
+++ b/include/once/attempt_table.h
@@ -92,7 +92,7 @@
     time_point disconnected_at;
   };
 
-  void ReleaseAnswer(const record& dropped);
+  void ReleaseAnswer(const record& released);
 
   std::unordered_map<std::uint64_t, sender> senders_;  // By incarnation.
   std::size_t bytes_ = 0;
--- a/include/once/executor_table.h
+++ b/include/once/executor_table.h
@@ -155,7 +155,7 @@
   bool IsEpochExpired(const execution_binding& attempt);
   [[nodiscard]] bool IsAcceptable(epoch_id epoch) const;
   record& Insert(const record_key& key);
-  void StoreResult(const record_key& key, record& kept, const outcome& result);
+  void StoreResult(const record_key& key, record& entry, const outcome& result);
   void EraseRecord(const record_key& key);
   void DiscardOldAnswers();
   void DropOldestEpoch();
--- a/src/once/attempt_table.cc
+++ b/src/once/attempt_table.cc
@@ -70,9 +70,9 @@
   return found == owner->second.records.end() ? nullptr : found->second.answer;
 }
 
-void attempt_table::ReleaseAnswer(const record& dropped) {
-  if (dropped.answer != nullptr) {
-    bytes_ -= dropped.answer->size();
+void attempt_table::ReleaseAnswer(const record& released) {
+  if (released.answer != nullptr) {
+    bytes_ -= released.answer->size();
   }
 }
 
@@ -107,8 +107,8 @@
     if (owner.connected || now - owner.disconnected_at < kRetention) {
       return false;
     }
-    for (const auto& [number, kept] : owner.records) {
-      ReleaseAnswer(kept);
+    for (const auto& [number, expired] : owner.records) {
+      ReleaseAnswer(expired);
     }
     return true;
   });
--- a/src/once/executor_table_impl.h
+++ b/src/once/executor_table_impl.h
@@ -192,10 +192,10 @@
       found->second.state == record_state::kFinished) {
     return {};
   }
-  record& kept = found->second;
-  finished_attempt finished{.waiters = std::move(kept.waiters),
+  record& entry = found->second;
+  finished_attempt finished{.waiters = std::move(entry.waiters),
                             .result = result};
-  kept.waiters.clear();
+  entry.waiters.clear();
   if (!Guards::kRefusalTombstone && result.kind == outcome_kind::kNotExecuted) {
     EraseRecord(key);
     return finished;
@@ -203,7 +203,7 @@
   // Guard REFUSAL_TOMBSTONE in spec/at_most_once.pml: a refusal is stored like
   // any other result. The home tries another executor after it, and a late copy
   // of this attempt would run here as well.
-  StoreResult(key, kept, result);
+  StoreResult(key, entry, result);
   return finished;
 }
 
@@ -234,10 +234,10 @@
 
 template <typename Guards>
 void basic_executor_table<Guards>::StoreResult(const record_key& key,
-                                               record& kept,
+                                               record& entry,
                                                const outcome& result) {
-  kept.state = record_state::kFinished;
-  kept.result = result;
+  entry.state = record_state::kFinished;
+  entry.result = result;
   if (result.reply.body.empty()) {
     return;
   }
@@ -274,11 +274,11 @@
   const record_key key = KeyOf(attempt);
   const auto found = records_.find(key);
   if (found != records_.end()) {
-    record& kept = found->second;
-    if (kept.state == record_state::kFinished) {
-      return {.result = kept.result, .running = false, .waiters = {}};
+    record& entry = found->second;
+    if (entry.state == record_state::kFinished) {
+      return {.result = entry.result, .running = false, .waiters = {}};
     }
-    if (kept.state == record_state::kRunning) {
+    if (entry.state == record_state::kRunning) {
       return {.result = Unknown(reason::kCancelled),
               .running = true,
               .waiters = {}};
@@ -287,9 +287,9 @@
     const outcome cancelled = NotExecuted(reason::kCancelled);
     cancel_decision decision{.result = cancelled,
                              .running = false,
-                             .waiters = std::move(kept.waiters)};
-    kept.waiters.clear();
-    StoreResult(key, kept, cancelled);
+                             .waiters = std::move(entry.waiters)};
+    entry.waiters.clear();
+    StoreResult(key, entry, cancelled);
     return decision;
   }
   if (IsEpochExpired(attempt)) {
--- a/src/once/key_home_impl.h
+++ b/src/once/key_home_impl.h
@@ -671,11 +671,11 @@
     std::erase_if(answered_, is_erased);
   }
   if (expiries_.size() > max_entries) {
-    decltype(expiries_) kept;
+    decltype(expiries_) remaining;
     for (const auto& [sequence, record] : records_) {
-      kept.push({.at = record.expires, .sequence = sequence});
+      remaining.push({.at = record.expires, .sequence = sequence});
     }
-    expiries_ = std::move(kept);
+    expiries_ = std::move(remaining);
   }
 }
 
--- a/tests/executor_table_test.cc
+++ b/tests/executor_table_test.cc
@@ -70,9 +70,9 @@
   table.Accept(Attempt(1), waiter_id{1}, kStart);
   EXPECT_TRUE(table.Start(Attempt(1)));
   table.Finish(Attempt(1), Answer(), kStart);
-  const auto kept =
+  const auto replayed =
       table.Accept(Attempt(1), waiter_id{2}, kStart + seconds(19));
-  EXPECT_EQ(kept.result.kind, outcome_kind::kCompleted);
+  EXPECT_EQ(replayed.result.kind, outcome_kind::kCompleted);
   const auto late =
       table.Accept(Attempt(1), waiter_id{3}, kStart + seconds(20));
   EXPECT_EQ(late.result.why, reason::kStale);
