--- a/src/once/attempt_table.cc
+++ b/src/once/attempt_table.cc
@@ -1,4 +1,4 @@
-// Records of attempts by sender.
+// Attempt records by sender.
 #include "include/once/attempt_table.h"
 
 #include <utility>
@@ -33,8 +33,8 @@
   return attempt_verdict::kRefused;
 }
 
-// Guard ASK_TOMBSTONE in spec/peer_attempts.pml: what is denied here must not
-// start when its bytes arrive later.
+// Guard ASK_TOMBSTONE in spec/peer_attempts.pml: an attempt that is reported as
+// not run must not start when its bytes arrive later.
 attempt_verdict attempt_table::Query(const attempt_key& attempt) {
   const attempt_verdict verdict = Begin(attempt);
   if (verdict != attempt_verdict::kStart) {
@@ -70,9 +70,9 @@
   return found == owner->second.records.end() ? nullptr : found->second.answer;
 }
 
-void attempt_table::ReleaseAnswer(const record& dropped) {
-  if (dropped.answer != nullptr) {
-    bytes_ -= dropped.answer->size();
+void attempt_table::ReleaseAnswer(const record& released) {
+  if (released.answer != nullptr) {
+    bytes_ -= released.answer->size();
   }
 }
 
@@ -107,8 +107,8 @@
     if (owner.connected || now - owner.disconnected_at < kRetention) {
       return false;
     }
-    for (const auto& [number, kept] : owner.records) {
-      ReleaseAnswer(kept);
+    for (const auto& [number, expired] : owner.records) {
+      ReleaseAnswer(expired);
     }
     return true;
   });
