--- a/include/forward/forward_settings.h
+++ b/include/forward/forward_settings.h
@@ -1,5 +1,5 @@
-// forward_settings: what a daemon is told about itself where a platform's own
-// protocols are spoken on both sides of it.
+// forward_settings: settings of a daemon that forwards requests between callers
+// and targets which both use the platform's own protocols.
 #pragma once
 
 #include <cstddef>
@@ -18,8 +18,8 @@
 
 // Which daemons read the platform's store.
 enum class reader_policy : std::uint8_t {
-  kFew,  // Two of each data centre, and they tell the others.
-  kAll,  // Each by itself.
+  kFew,  // Two of each data centre; they send changes to the others.
+  kAll,  // Every daemon.
 };
 
 inline constexpr enum_table<reader_policy, 2> kReaderPolicyNames({"few",
@@ -32,39 +32,39 @@
 
   endpoint caller;                 // HTTP for callers and for the target.
   endpoint peer;                   // Other daemons.
-  endpoint ready;                  // Tells whether callers may come.
-  endpoint admin;                  // Metrics; reads only.
+  endpoint ready;                  // Readiness for callers.
+  endpoint admin;                  // Metrics; read-only.
   endpoint target;                 // The target beside this daemon.
-  std::vector<endpoint> platform;  // The store of views.
+  std::vector<endpoint> platform;  // The platform's store.
 
-  // What the process may take.
+  // Limits of the process.
   double memory_mb = 256;
   std::uint32_t max_descriptors = 1024;
 
   // How long a stopping daemon has before it is killed.
   milliseconds stop_timeout{6000};
-  // Calls a second that the platform's store takes of all daemons; zero if not
-  // told.
+  // Calls per second that the platform's store accepts from all daemons
+  // together; zero if unknown.
   double store_calls_per_second = 0;
   reader_policy store_readers = reader_policy::kFew;
 
-  // Within this time of its withdrawal an API key must not be served any more,
-  // also by a daemon that can't learn of it; zero if such a daemon goes on with
-  // what it knows.
+  // An API key must not be accepted later than this after its withdrawal, even
+  // by a daemon that can't learn of the withdrawal. Zero if such a daemon goes
+  // on with the keys that it has.
   milliseconds key_withdrawal{0};
 
-  // Part by which organisations may exceed their quotas for some seconds.
+  // Fraction by which organisations may exceed their quotas for some seconds.
   double quota_overage = 0;
 
-  // Bounds on how often requests are sent again, over all daemons: in each
-  // window, a part of the requests of a service and a reserve.
+  // Retry budget over all daemons: in each window, a fraction of the requests
+  // of a service plus a reserve.
   double repeat_ratio = 0.2;
   double repeat_reserve = 10;
   milliseconds repeat_window{10000};
 };
 
 // Reads settings from JSON with comments. Unknown keys, wrong types, values out
-// of range and missing ones are errors, each named with its place below
+// of range and missing ones are errors, each reported with its path below
 // `origin`.
 [[nodiscard]] parse_result<forward_settings> ParseForwardSettings(
     std::string_view json,
--- a/include/forward/service_view.h
+++ b/include/forward/service_view.h
@@ -1,7 +1,7 @@
-// service_view: what one daemon believes of the services around it: the routes
-// and limits in force, and the targets that live.
+// service_view: one daemon's view of the services around it: the routes and
+// limits in force, and the live targets.
 //
-// A value that is shared and never changed; a newer one replaces it whole.
+// An immutable shared value; a newer view replaces it as a whole.
 #pragma once
 
 #include <cstddef>
@@ -26,18 +26,18 @@
 inline constexpr enum_table<target_state, 2> kTargetStateNames({"ready",
                                                                 "leaving"});
 
-// One start of one target, as it registered itself.
+// One start of one target, as registered by the target.
 struct target_entry {
   std::string id;
-  // Tells starts under one id apart: a target that starts again may keep its
-  // id, and then holds and knows nothing of before. Zero if it wasn't told.
+  // Distinguishes starts under one id: a target that restarts may keep its id
+  // but has lost all state. Zero if unknown.
   incarnation_id start{};
   std::string service;
   endpoint address;
   std::string data_centre;
-  std::uint32_t slots = 1;  // Requests that it runs at a time.
+  std::uint32_t slots = 1;  // Requests that it runs concurrently.
   target_state state = target_state::kReady;
-  milliseconds warm_up_left{0};  // How much longer it is slow after its start.
+  milliseconds warm_up_left{0};  // Remaining time of its slow start.
 
   friend bool operator==(const target_entry&, const target_entry&) = default;
 };
@@ -52,33 +52,34 @@
   friend bool operator==(const caller_limits&, const caller_limits&) = default;
 };
 
-// Names the start in logs, and where starts are compared.
+// The name of this start in logs and in comparisons.
 [[nodiscard]] inline std::string StartName(const target_entry& target) {
   return target.id + "@" +
          std::to_string(static_cast<std::uint64_t>(target.start));
 }
 
 struct service_entry {
-  // Connections that one target accepts from all callers together; zero if not
-  // told.
+  // Connections that one target accepts from all callers together; zero if
+  // unknown.
   std::uint32_t max_connections = 0;
 };
 
-// What the operator publishes.
+// The configuration that the operator publishes.
 struct service_config {
   std::uint64_t version = 0;
   route_table routes;
   std::unordered_map<std::string, service_entry> services;
   caller_limits limits;
-  // nullptr if requests carry no keys.
+  // nullptr if requests carry no API keys.
   std::shared_ptr<const organisation_table> organisations;
   precedence ranks;
 };
 
 struct service_view {
-  std::shared_ptr<const service_config> config;  // nullptr until one is known.
+  std::shared_ptr<const service_config>
+      config;  // nullptr before the first one.
   std::vector<target_entry> targets;
-  // Counts up with every change of the targets.
+  // Incremented with every change of the targets.
   std::uint64_t targets_version = 0;
 };
 
--- a/include/forward/store_contact.h
+++ b/include/forward/store_contact.h
@@ -1,4 +1,5 @@
-// store_contact: when the platform's store was last away, for all daemons.
+// store_contact: when the platform's store last had an outage that affected all
+// daemons.
 #pragma once
 
 #include <optional>
@@ -7,9 +8,10 @@
 
 namespace pistachioweir {
 
-// Since when an answer is missing that was due at `due`, if the call, that was
-// to be given up at `abandoned_at`, is so at `now`. A process that stood still
-// meanwhile could not hear one.
+// Since when the store counts as not answering, if an answer was due at `due`
+// and a call with the time-out `abandoned_at` is abandoned at `now`. A process
+// that was stalled in between could not have received the answer, so only `now`
+// counts.
 [[nodiscard]] inline time_point UnansweredSince(time_point due,
                                                 time_point abandoned_at,
                                                 time_point now) {
@@ -17,48 +19,48 @@
   return now - abandoned_at > kMaxStall ? now : due;
 }
 
-// Entries of live targets run out while the store is away for all, so removals
-// behind that are delayed (guard DELAY in spec/leaving_bound.pml). A daemon
-// whose own calls fail can't tell whether the store is away or its own way
-// there is broken; one answer to any daemon meanwhile tells (guard AWAY_FOR_ALL
-// in spec/leaving_bound.pml). So this puts together when the store answered
-// this daemon and when it answered others.
+// Entries of live targets expire during an outage of the store, so removals
+// after it are delayed (guard DELAY in spec/leaving_bound.pml). A daemon whose
+// own calls fail can't tell an outage from a broken path to the store; a single
+// answer to any daemon in that time rules out an outage (guard AWAY_FOR_ALL in
+// spec/leaving_bound.pml). So this class combines the times at which the store
+// answered this daemon and other daemons.
 //
-// Pure logic; view_builder keeps one.
+// Pure logic; owned by view_builder.
 class store_contact {
  public:
-  // Without an answer to anybody for this long, with calls that fail, the store
-  // is away: longer than readers of the store wait between two answers, shorter
-  // than the two heartbeats of a second and a half within which no entry runs
-  // out.
+  // The store is considered down if it has answered no daemon for this long and
+  // calls failed in that time. Longer than the time between two answers to a
+  // reader of the store, and shorter than two heartbeats of 1.5 s, within which
+  // no entry expires.
   static constexpr milliseconds kOutageThreshold{2500};
 
-  // The store answered a daemon at `at`. Told in any order: a late one may show
-  // that the store was there.
+  // The store answered a daemon at `at`. May be called in any order: a late
+  // report may show that there was no outage.
   void OnAnswered(time_point at);
   // All calls of a daemon from `since` until `until` failed.
   void OnFailed(time_point since, time_point until);
 
-  // When the store was back, if it was away for all as far as is known.
+  // When the last known outage of the store ended; empty if there was none.
   [[nodiscard]] std::optional<time_point> returned_at() const;
-  // Its newest answer to any daemon.
+  // The store's newest answer to any daemon.
   [[nodiscard]] std::optional<time_point> last_answer() const { return last_; }
 
  private:
-  // Without answers in between. Nobody may have known of the store before its
-  // first answer.
+  // A period without answers. Unbounded before the first answer, since the
+  // store may not have been known before.
   struct silence {
     time_point begin = time_point::min();
     time_point end;
-    bool failed = false;  // Calls failed in it.
+    bool failed = false;  // Whether calls failed in it.
   };
 
   void MarkFailures(silence* found) const;
 
   std::optional<time_point> last_;
-  std::optional<silence>
-      silence_;  // The last one longer than kOutageThreshold.
-  // The last calls that failed.
+  // The last one that exceeds kOutageThreshold.
+  std::optional<silence> silence_;
+  // The last period in which all calls failed.
   time_point failed_since_ = time_point::min();
   time_point failed_until_ = time_point::min();
 };
--- a/include/forward/target_vouching.h
+++ b/include/forward/target_vouching.h
@@ -1,5 +1,5 @@
 // target_vouching: whether a daemon vouches for the target beside it while
-// neither of them reaches the platform's store, and whether it still hands
+// neither of them reaches the platform's store, and whether it still passes
 // requests to it.
 #pragma once
 
@@ -13,36 +13,38 @@
 namespace pistachioweir {
 
 // A target whose VM is cut off from the store alone can't renew its entry,
-// though it serves whoever reaches it. Its daemon says so on frames that flow
-// anyway. While the daemon reads the store it never does: what vanishes then
-// has left (guard STORE_LOST in spec/lapsed_targets.pml). A target that leaves
-// meanwhile ends its connections behind its answers, which doesn't count as an
-// answer (guard STAYING in spec/lapsed_targets.pml). Once the daemon has read
-// the store and the entry isn't back, it is over for good.
+// though it still serves requests. Its daemon vouches for it on frames that it
+// sends anyway. It never does so while it reads the store: a target that
+// vanishes then has left (guard STORE_LOST in spec/lapsed_targets.pml). A
+// target that leaves while the store is lost closes its connections after its
+// answers, and such answers don't count (guard STAYING in
+// spec/lapsed_targets.pml). Once the daemon has read the store again and the
+// entry isn't back, vouching ends permanently.
 //
-// Others may believe in a target for longer than they should, and requests wait
-// beside it: what has left gets none, whoever sends them.
+// Other daemons may keep a target in use for too long, and requests may be
+// queued at this daemon: a target that has left gets none of them, regardless
+// of the sender.
 //
-// Pure logic; the executor keeps one.
+// Pure logic; owned by the executor.
 class target_vouching {
  public:
-  // Calls to the store must have failed for so long: an answer that is lost
-  // alone is asked for again within this time.
+  // Calls to the store must have failed for this long. A single lost answer is
+  // requested again within this time.
   static constexpr milliseconds kStoreLostAfter{500};
-  // Entries that ran out are back so long after the store is.
+  // Expired entries are back within this time after the store is.
   static constexpr milliseconds kReturnTime{2000};
-  // The target must have answered within this time. Targets in use answer many
-  // times in it, and it is short against the two seconds after which a target
-  // that leaves may get nothing.
+  // Maximum age of the target's last answer. Targets in use answer many times
+  // within it, and it is short compared with the two seconds after which a
+  // leaving target may get no requests.
   static constexpr milliseconds kMaxAnswerAge{1000};
-  // Vouching holds for so long from the target's answer on.
+  // How long vouching is valid, counted from the target's answer.
   static constexpr milliseconds kLease{1500};
-  // A target that is known to leave gets requests for this long, as long as
-  // others may take to learn of it.
+  // How long a target that is known to be leaving still gets requests: the time
+  // that other daemons may take to learn of it.
   static constexpr milliseconds kLeavingGrace{1000};
 
-  // The start of the target beside the daemon as the view lists it, empty if it
-  // is listed as leaving.
+  // Sets the start of the target beside the daemon as listed in the view; empty
+  // if it is listed as leaving.
   void SetTarget(std::string start) {
     unlisted_since_.reset();
     leaving_since_.reset();
@@ -63,15 +65,15 @@
       unlisted_since_ = now;
     }
   }
-  // Once a second. Ends for good what has left.
+  // Called once a second. Ends vouching permanently for a target that has left.
   void Tick(const view_state& view, time_point now) {
     if (unlisted_since_ && now - *unlisted_since_ > kReturnTime &&
         !view.lost_since && !IsStoreBack(view, now)) {
       start_.clear();
     }
   }
-  // The target has answered a request; `closing` if it ended the connection
-  // behind the answer, as a target does that is leaving.
+  // The target has answered a request; `closing` if it closed the connection
+  // after the answer, as a leaving target does.
   void OnAnswer(bool closing, time_point now) {
     if (!closing) {
       answered_ = now;
@@ -82,7 +84,7 @@
   [[nodiscard]] bool IsListed() const {
     return !leaving_since_ && !unlisted_since_;
   }
-  // Whether requests may be handed to the target.
+  // Whether requests may be passed to the target.
   [[nodiscard]] bool MayServe(const view_state& view, time_point now) const {
     if (leaving_since_) {
       return now - *leaving_since_ <= kLeavingGrace;
@@ -92,7 +94,8 @@
     }
     return IsStoreLost(view, now) && now - answered_ <= kLease;
   }
-  // Of the start that is listed, or was last; the epoch if it has not yet.
+  // Last answer of the start that is or was last listed; the epoch if there was
+  // none.
   [[nodiscard]] time_point answered() const { return answered_; }
   // The start that the daemon vouches for; empty for none.
   [[nodiscard]] std::string VouchedStart(const view_state& view,
@@ -103,7 +106,7 @@
   }
 
  private:
-  // What vanishes from the list now may have run out.
+  // Whether an entry that vanishes from the list now may have expired.
   [[nodiscard]] static bool IsStoreLost(const view_state& view,
                                         time_point now) {
     const bool lost =
@@ -117,7 +120,7 @@
 
   std::string start_;
   std::optional<time_point> unlisted_since_;
-  std::optional<time_point> leaving_since_;  // Listed as leaving.
+  std::optional<time_point> leaving_since_;  // Since it is listed as leaving.
   time_point answered_;  // The epoch if this start has not answered yet.
 };
 
--- a/include/forward/view_changes.h
+++ b/include/forward/view_changes.h
@@ -1,5 +1,5 @@
-// view_changes: changes of the platform's store, as it tells them and as
-// daemons tell them each other.
+// view_changes: changes of the platform's store, as reported by the store and
+// as propagated between daemons.
 #pragma once
 
 #include <cstdint>
@@ -12,44 +12,44 @@
 
 namespace pistachioweir {
 
-// An entry as it was last written, or its removal. What the key and the value
-// say is the platform's; only its adapter reads them.
+// An entry as it was last written, or its removal. Key and value are opaque
+// here; only the platform's adapter interprets them.
 struct stored_entry {
   std::string key;
   std::string value;          // Empty if it was removed.
-  std::uint64_t created = 0;  // The store's revision of its first writing.
+  std::uint64_t created = 0;  // Revision at which it was first written.
   std::uint64_t revision = 0;
   bool removed = false;
 
   friend bool operator==(const stored_entry&, const stored_entry&) = default;
 };
 
-// Everything that changed behind one revision of the store up to another. The
-// store has one count of changes, so that of any two daemons' reports the newer
-// one can be told. Whatever is told, and however late it comes, a daemon takes
-// only what ends behind what it knows (guard NEWER_ONLY in
-// spec/shared_views.pml), or what was withdrawn would come back; and only what
-// begins at or before that (guard GAPLESS in spec/shared_views.pml), or it
-// would miss a change for good and believe that it has all.
+// Everything that changed after one revision of the store up to another. The
+// store numbers all changes in one sequence, so that reports of any two daemons
+// can be ordered. Regardless of how late changes arrive, a daemon applies them
+// only if they end after its own revision (guard NEWER_ONLY in
+// spec/shared_views.pml), or a withdrawn entry would come back; and only if
+// they begin at or before it (guard GAPLESS in spec/shared_views.pml), or it
+// would miss a change permanently while it considers itself up to date.
 struct view_changes {
-  // Zero if the entries are all that there are: then what isn't among them has
-  // been removed.
+  // Zero if the entries are a full snapshot: then an entry that isn't among
+  // them has been removed.
   std::uint64_t after = 0;
-  std::uint64_t revision = 0;  // The last one; above zero.
-  // Since a daemon read the newest of them at the store.
+  std::uint64_t revision = 0;  // Of the last change; above zero.
+  // Time since a daemon read the newest of them from the store.
   milliseconds read_ago{0};
-  // Since the store was back after it had been away, if that is so short ago
-  // that entries which ran out meanwhile may still come back.
+  // Time since the end of the store's last outage, if that is so recent that
+  // entries which expired in it may still come back.
   std::optional<milliseconds> returned_ago;
   std::vector<stored_entry> entries;
-  std::string from;  // The daemon that told them; empty for the store.
+  std::string from;  // The daemon that sent them; empty for the store.
 };
 
-// What became of changes that were told.
+// Result of applying received changes.
 enum class changes_verdict : std::uint8_t {
   kTaken,
-  kNotNewer,  // All of it is known.
-  kGap,       // What came before them isn't known.
+  kNotNewer,  // All of them are known.
+  kGap,       // Changes before them are missing.
 };
 
 inline constexpr enum_table<changes_verdict, 3> kChangesVerdictNames(
@@ -57,9 +57,9 @@
 
 // Whether a daemon reads the store itself.
 enum class store_reading : std::uint8_t {
-  kNone,  // Others tell it what changes.
-  // It does, but it can wait if the store fails: others tell it what changes,
-  // or others are trying as well.
+  kNone,  // It receives changes from others.
+  // It does, but may back off if the store fails: it receives changes from
+  // others, or others are trying as well.
   kPatient,
   kEager,
 };
--- a/include/forward/view_following.h
+++ b/include/forward/view_following.h
@@ -1,5 +1,5 @@
-// view_following: which daemons read the platform's store for all, and whom the
-// others follow to hear what changes.
+// view_following: selects the daemons that read the platform's store for all,
+// and the sources from which the others receive changes.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
 
 namespace pistachioweir {
 
-// Where a daemon is: beside a target.
+// Where a daemon runs: beside a target.
 struct daemon_location {
   std::string ip;
   std::string data_centre;
@@ -26,85 +26,86 @@
 struct view_following_options {
   daemon_location self;
   // Daemons that read the store for their data centre. With two, one that is
-  // frozen or cut off costs nobody time: the other's reports come as before.
+  // frozen or cut off causes no delay: the other's reports keep arriving.
   std::size_t readers = 2;
-  // Followers that one pair of daemons has. Bounds what a change costs each
-  // daemon, whatever the size of its data centre.
+  // Followers of one pair of daemons. Bounds the cost of a change for each
+  // daemon, regardless of the size of its data centre.
   std::size_t fan_out = 32;
-  // A source that has said nothing useful for this long is replaced. Two
-  // heartbeats of it are missing then.
+  // A source without a useful report for this long is replaced. It has missed
+  // two heartbeats then.
   milliseconds source_timeout{550};
-  // If nobody who reads the store confirmed the own view so lately, a daemon
-  // reads by itself; half of the two seconds in which a change may have to be
-  // in force. A report that is older than this is of no use. Each daemon that
-  // it comes by adds at most the time between two heartbeats, and it comes by
-  // three at most.
+  // Maximum age of a confirmation of the own view by a reader of the store;
+  // without one a daemon reads the store itself. Half of the two seconds within
+  // which a change may have to be in force. Older reports are ignored. Each
+  // daemon that a report passes adds at most one heartbeat interval, and it
+  // passes at most three.
   milliseconds max_age{1000};
-  // How long a source that was replaced is passed over if it isn't heard from.
+  // How long a replaced source is excluded if no report of it arrives.
   milliseconds exclusion{30000};
 };
 
 struct following_plan {
   store_reading reading = store_reading::kEager;
-  std::vector<std::string> sources;  // IP numbers of the daemons to follow.
+  std::vector<std::string> sources;  // IP addresses of the daemons to follow.
 };
 
-// Daemons are ordered by a hash of their addresses, the same at all of them.
-// The first two of a data centre read the store; the others follow them, in a
-// large data centre by way of others that stand further in front. Lists that
-// differ cost calls and milliseconds; what is true is decided by revisions
-// (view_changes.h).
+// Daemons are ordered by a hash of their addresses, which gives all of them the
+// same order. The first two of a data centre read the store; the others follow
+// them, in a large data centre through daemons earlier in the order. Differing
+// lists of daemons cost only extra calls and milliseconds; correctness depends
+// on revisions alone (view_changes.h).
 //
-// A source is judged by the age of what it reports, which counts on through
-// every daemon (guard AGE_COUNTS in spec/shared_views.pml). A daemon without a
-// fresh report reads the store itself (guard READS_ALONE in
+// A source is rated by the age of its reports, which accumulates over all
+// daemons on the path (guard AGE_COUNTS in spec/shared_views.pml). A daemon
+// without a fresh report reads the store itself (guard READS_ALONE in
 // spec/shared_views.pml).
 //
-// Pure logic; the daemon keeps one.
+// Pure logic; owned by view_sharing.
 class view_following {
  public:
-  // What a report takes to the next daemon, with some margin: an age that is
-  // passed on grows by this.
+  // Transit time of a report to the next daemon, with some margin. Added to
+  // each age that is passed on.
   static constexpr milliseconds kReportDelay{20};
 
   explicit view_following(view_following_options options);
 
-  // All daemons that are known, this one among them if its target is listed.
+  // Sets all known daemons, including this one if its target is listed.
   void SetDaemons(const std::vector<daemon_location>& daemons);
 
-  // The daemon at `ip` has a view that isn't older than the own one. Somebody
-  // who reads the store confirmed it `age` ago; zero if it reads the store
-  // itself. `same` if its view is as new as the own one.
+  // The daemon at `ip` has a view that isn't older than the own one. A reader
+  // of the store confirmed it `age` ago; zero if that daemon reads the store
+  // itself. `same` if both views have the same revision.
   void OnReport(const std::string& ip,
                 milliseconds age,
                 bool same,
                 time_point now);
   // The daemon at `ip` can't be reached, or is stopping.
   void OnLost(const std::string& ip, time_point now);
-  // How the own reading of the store goes; only while there is one.
+  // Result of this daemon's last read of the store; only called while it reads.
   void OnReadResult(bool ok);
 
-  // What to do from now on. Call several times within `silence`.
+  // Returns what to do from now on. Must be called several times within
+  // `source_timeout`.
   [[nodiscard]] following_plan Plan(time_point now);
 
-  // How long ago somebody who reads the store confirmed the own view, as far
-  // as is known. Zero only if this daemon reads it.
+  // Time since the last known confirmation of the own view by a reader of the
+  // store. Zero only if this daemon reads the store.
   [[nodiscard]] milliseconds Age(time_point now) const;
-  // Whether that is so lately that the view can be relied on.
+  // Whether that is recent enough for the view to be relied on.
   [[nodiscard]] bool IsFresh(time_point now) const {
     return Age(now) <= options_.max_age;
   }
 
  private:
   struct source {
-    time_point since;          // When it was chosen.
-    bool should_read = false;  // It stands in front of its data centre.
-    time_point last_report;    // Its last useful one.
-    std::optional<time_point> excluded_since;  // Since when it is passed over.
+    time_point since;          // When it was selected.
+    bool should_read = false;  // It is among the first of its data centre.
+    time_point last_report;    // Its last useful report.
+    std::optional<time_point> excluded_since;  // Unset while it is in use.
   };
 
   [[nodiscard]] bool IsExcluded(const std::string& ip, time_point now) const;
-  // Of the own data centre, in the order, without those that are passed over.
+  // Daemons of the own data centre in order, without excluded ones.
   [[nodiscard]] std::vector<std::string> Serving(time_point now) const;
   [[nodiscard]] std::vector<std::string> Sources(
       const std::vector<std::string>& serving,
@@ -121,17 +122,17 @@
                                       time_point now) const;
 
   const view_following_options options_;
-  std::vector<std::string> local_;   // The own data centre's, in the order.
-  std::vector<std::string> remote_;  // The others', likewise.
-  std::map<std::string, source> sources_;  // Followed, or passed over.
-  time_point last_plan_;                   // The last plan.
-  // Since when somebody could have spoken: there was nobody to follow before,
-  // or this daemon stood still.
+  std::vector<std::string> local_;  // Daemons of the own data centre, in order.
+  std::vector<std::string> remote_;  // Daemons of other data centres, in order.
+  std::map<std::string, source> sources_;  // Followed or excluded.
+  time_point last_plan_;                   // Time of the last plan.
+  // Since when reports could arrive: before that there was no source to follow,
+  // or this daemon was stalled.
   std::optional<time_point> listening_since_;
-  // When somebody who reads the store confirmed the view.
+  // When a reader of the store last confirmed the view.
   time_point confirmed_;
   bool last_read_ok_ = false;
-  bool last_read_failed_ = false;  // It was tried, and the store failed.
+  bool last_read_failed_ = false;  // The last read was tried and failed.
 };
 
 }  // namespace pistachioweir
--- a/include/forward/view_freshness.h
+++ b/include/forward/view_freshness.h
@@ -1,7 +1,7 @@
-// view_freshness: how long ago a daemon's view is proven to have been the
-// platform's store's newest state.
+// view_freshness: the proven age of a daemon's view: how long ago it was
+// certainly the newest state of the platform's store.
 //
-// Pure logic; view_sharing keeps one.
+// Pure logic; owned by view_sharing.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace pistachioweir {
 
-// What one daemon can prove to another.
+// Proof of freshness that one daemon sends to another.
 struct freshness_proof {
   std::uint64_t revision = 0;
   // The store had nothing newer than `revision` this long ago.
@@ -22,20 +22,21 @@
                          const freshness_proof&) = default;
 };
 
-// Ages count from the moment at which a question was asked, never from the
-// arrival of its answer (guard AGE_FROM_QUESTION in spec/key_withdrawal.pml):
-// an answer may have waited in a socket while its reader stood still, or on a
-// link that lost packets, and would look newer than it is.
+// Ages count from the time of the request, never from the arrival of its answer
+// (guard AGE_FROM_QUESTION in spec/key_withdrawal.pml): an answer may have
+// waited in a socket while its reader was stalled, or on a link that lost
+// packets, and would appear newer than it is.
 class view_freshness {
  public:
-  // An answer to a question asked at `asked`. The store proves an age of zero.
+  // Handles the answer to a request sent at `asked`. The store proves an age of
+  // zero.
   void Confirm(const freshness_proof& proof, boot_time asked);
-  // The view holds all changes up to `revision`. A proof of a later one counts
-  // once the view has caught up (guard HAS_REVISION in
+  // The view holds all changes up to `revision`. A proof of a later revision
+  // takes effect once the view has caught up (guard HAS_REVISION in
   // spec/key_withdrawal.pml).
   void SetRevision(std::uint64_t revision);
 
-  // Nothing if nothing was proven yet.
+  // Empty before the first proof.
   [[nodiscard]] std::optional<milliseconds> Age(boot_time now) const;
 
  private:
@@ -48,7 +49,7 @@
 
   std::uint64_t revision_ = 0;
   std::optional<boot_time> proven_;
-  // The newest proof that is ahead of the view: its revision is greater.
+  // The newest proof of a revision that the view has not reached yet.
   std::optional<pending_proof> pending_;
 };
 
--- a/include/forward/watch_pace.h
+++ b/include/forward/watch_pace.h
@@ -10,47 +10,46 @@
 
 namespace pistachioweir {
 
-// At most half of the two seconds within which a change of the configuration or
-// of a target that leaves must be in force.
+// Half of the two seconds within which a change of the configuration or the
+// leaving of a target must be in force.
 inline constexpr milliseconds kMaxWatchPause{1000};
-// A pause ends early when a target turns out to be another one than the list
-// has at its address: the changes that the daemon waits for are then those that
-// it needs. After a loss of power all targets are new. A daemon that read the
-// store while some of their entries were there would wait for the rest, hear
-// from each old target in turn that it is gone, and refuse calls for want of a
-// target while all of them are registered. Not more often than this: each is a
-// call that the pause was to save.
+// A pause ends early when a target turns out to be different from the one
+// listed at its address: the daemon then needs the pending changes at once.
+// After a loss of power all targets are new. A daemon that read the store while
+// only some of their entries were there would wait for the rest, find out that
+// one old target after the other is gone, and refuse calls for lack of a target
+// although all targets are registered. This is the minimum between early ends:
+// each costs a call that the pause was meant to save.
 inline constexpr milliseconds kMinWatchPause{200};
 
-// One change costs a call of each daemon that watches the store. A series of
+// One change costs one call per daemon that watches the store. A series of
 // changes, as when all targets are started or replaced, would cost as many
-// calls as changes times daemons: the store then turns daemons away, and those
-// learn nothing of what matters. So a daemon that has just heard of a change
-// waits before it asks for the next ones, which then come together. The first
-// change after a calm time is still heard of at once.
+// calls as changes times daemons: the store then rejects calls, and the
+// rejected daemons miss important changes. So a daemon that has just received a
+// change waits before it asks for the next ones, which then arrive in one
+// batch. The first change after a quiet period is still received at once.
 struct watch_pace_options {
-  // Calls a second that the store takes of all daemons together; zero if not
-  // told.
+  // Calls per second that the store accepts from all daemons together; zero if
+  // unknown.
   double store_calls_per_second = 0;
   reader_policy readers = reader_policy::kFew;
-  milliseconds max_wait{0};  // Of a watch; zero for no bound.
+  milliseconds max_wait{0};  // Of a watch; zero for unlimited.
   milliseconds max_pause = kMaxWatchPause;
-  milliseconds min_pause = kMinWatchPause;  // If it is ended early.
+  milliseconds min_pause = kMinWatchPause;  // If it ends early.
 };
 
-// The part of the store's calls that changes may take. After an outage of the
-// store each daemon that watches may have to read everything anew, within a
-// second or two, and others read there too. Calls are paid for as well.
+// Fraction of the store's calls that watches may use. After an outage each
+// watching daemon may have to read everything again within a second or two, and
+// other programs read the store too. Calls also cost money.
 inline constexpr double kWatchShare = 0.01;
 
-// Where a few daemons read for all, each change costs a call of those only. The
-// two of a data centre tell each other what they read, and both are woken by
-// the same change: if they paused for the same time, one of them would call for
-// nothing.
+// With reader_policy::kFew, each change costs a call of the readers only. The
+// two readers of a data centre share what they read, and the same change wakes
+// both: with equal pauses one of the two calls would be redundant.
 inline constexpr milliseconds kMinReaderPause{500};
 
-// How long to wait behind an answer that brought changes. `random` spreads the
-// pauses of readers.
+// Returns how long to wait after an answer that contained changes. `random`
+// spreads the pauses of readers.
 [[nodiscard]] constexpr milliseconds WatchPause(
     const watch_pace_options& options,
     std::size_t daemons,
@@ -70,30 +69,30 @@
   return std::min(even, options.max_pause);
 }
 
-// How long a watch waits for a change, before it is renewed.
+// How long a watch waits for a change before it is renewed.
 //
 // Each renewal is a call, and without changes it only shows that the store
-// still answers. What can go wrong unseen is an answer that is lost on the way,
-// or a store that has stopped answering. A connection that is dead as a whole
-// shows by the kernel's probes. So it is enough that somebody finds out:
-// daemons tell each other how new their views are, and whoever hears of a newer
-// one asks at once. Where all daemons watch, together they renew a watch this
-// often, however many they are.
+// still answers. It detects a lost answer or a store that has stopped
+// answering; a dead connection is detected by the kernel's keep-alive probes.
+// One daemon that notices is enough: daemons report the revisions of their
+// views to each other, and a daemon that receives a newer one asks at once.
+// With reader_policy::kAll, all daemons together renew a watch this often,
+// regardless of their number.
 inline constexpr milliseconds kFleetRenewal{100};
-// A few daemons can't rely on each other, and find out by themselves within the
-// two seconds that a change may take.
+// A small fleet can't rely on the others' watches, so each daemon detects a
+// fault itself within the two seconds that a change may take.
 inline constexpr milliseconds kMinWatchWait{1500};
-// Behind a silent store a daemon may be this long without news.
+// Maximum time that a daemon of a large fleet waits on a silent store.
 inline constexpr milliseconds kMaxWatchWait{8000};
-// Where a few daemons read for all, each of them vouches for many others while
-// its watch waits, and others tell by its answers whether the store is there
-// (store_contact.h). So long at most lies between two of them; a pause counts.
+// With reader_policy::kFew, many daemons depend on a reader while its watch
+// waits, and detect outages by the answers that it gets (store_contact.h). This
+// is the maximum time between two answers, including a pause.
 inline constexpr milliseconds kMaxReaderWait{1500};
-// What is left of that behind a pause.
+// Minimum watch time that remains of that after a pause.
 inline constexpr milliseconds kMinReaderWait{250};
 
-// `random` spreads the renewals: a change wakes all daemons at one moment.
-// `paused` is the time since the last answer.
+// `random` spreads the renewals, since a change wakes all daemons at the same
+// time. `paused` is the time since the last answer.
 [[nodiscard]] constexpr milliseconds WatchWait(
     const watch_pace_options& options,
     std::size_t daemons,
--- a/src/forward/forward_pages.cc
+++ b/src/forward/forward_pages.cc
@@ -39,11 +39,11 @@
   families->push_back(std::move(family));
 }
 
-// From the read of a change at the store until it was in use here.
+// Time from a daemon's read of a change until the change was applied here.
 MetricFamily ChangeAges(const view_sharing_counters& sharing) {
   MetricFamily family;
   family.name = "pistachioweir_forward_told_change_seconds";
-  family.help = "From a daemon's reading of a change until it is known here";
+  family.help = "From a daemon's read of a change until it is applied here";
   family.type = MetricType::Histogram;
   ClientMetric metric;
   std::uint64_t sum = 0;
@@ -79,37 +79,38 @@
   }
   Add("reads_store", "Whether this daemon reads the store", MetricType::Gauge,
       view.reading == store_reading::kNone ? 0 : 1, families);
-  Add("followers", "Daemons that are told of changes", MetricType::Gauge,
-      static_cast<double>(view.followers), families);
+  Add("followers", "Daemons that receive changes from this one",
+      MetricType::Gauge, static_cast<double>(view.followers), families);
   counter("store_calls", "Calls to the store", view.store_calls);
   counter("removals_delayed",
-          "Removals of targets put off, since the store was away before",
+          "Removals of targets delayed after an outage of the store",
           view.removals_delayed);
   counter("changes_sent", "Frames of changes to other daemons",
           view.publishing.told);
-  counter("changes_put_off", "Frames not sent, since the follower reads slowly",
+  counter("changes_put_off",
+          "Frames not sent because the follower reads slowly",
           view.publishing.put_off);
-  counter("changes_taken", "Frames of changes with news", view.sharing.taken);
-  counter("changes_useless", "Frames of changes without",
+  counter("changes_taken", "Frames of changes that were applied",
+          view.sharing.taken);
+  counter("changes_useless", "Frames of changes that were not applied",
           view.sharing.not_applied);
-  counter("changes_asked", "Questions for changes that others know of",
+  counter("changes_asked", "Requests for changes that other daemons reported",
           view.sharing.asked);
   families->push_back(ChangeAges(view.sharing));
 }
 
-// Those that were refused most; the page stays bounded.
+// Organisations with the most refusals; bounds the size of the page.
 constexpr std::size_t kMaxOrganisations = 50;
 
 void AddQuotas(const quota_page& quotas, std::vector<MetricFamily>* families) {
-  Add("quota_daemons_in_touch",
-      "Daemons that keep quotas together with this one", MetricType::Gauge,
-      quotas.in_touch, families);
+  Add("quota_daemons_in_touch", "Daemons that share quotas with this one",
+      MetricType::Gauge, quotas.in_touch, families);
   std::vector<quota_page_entry> most = quotas.refused;
   std::ranges::sort(most, std::greater<>(), &quota_page_entry::refused);
   most.resize(std::min(most.size(), kMaxOrganisations));
   MetricFamily family;
   family.name = "pistachioweir_forward_quota_requests";
-  family.help = "Requests of organisations that were refused any, by verdict";
+  family.help = "Requests of organisations with refusals, by verdict";
   family.type = MetricType::Counter;
   for (const quota_page_entry& each : most) {
     for (const bool refused : {false, true}) {
@@ -133,16 +134,18 @@
   Add("loop_lag_seconds", "How late the last timer of a second ran",
       MetricType::Gauge, std::chrono::duration<double>(load.lag).count(),
       families);
-  gauge("heap_bytes", "Memory that the allocator has handed out",
+  gauge("heap_bytes", "Bytes allocated from the C library's allocator",
         load.heap_bytes);
   gauge("links", "Connections to other daemons", load.links.open);
-  gauge("link_unsent_bytes", "Frames that other daemons have not taken",
+  gauge("link_unsent_bytes", "Bytes not yet sent to other daemons on links",
         load.links.unsent_bytes);
-  gauge("sessions", "Connections of other daemons", load.sessions.open);
-  gauge("session_unsent_bytes", "Frames that those have not taken",
+  gauge("sessions", "Connections from other daemons", load.sessions.open);
+  gauge("session_unsent_bytes",
+        "Bytes not yet sent to other daemons on sessions",
         load.sessions.unsent_bytes);
-  gauge("caller_held_bytes", "Bodies of callers' requests", load.caller_bytes);
-  gauge("answer_bytes", "Answers kept until their senders settle them",
+  gauge("caller_held_bytes", "Bytes of bodies of callers' requests",
+        load.caller_bytes);
+  gauge("answer_bytes", "Bytes of answers kept until their senders settle them",
         load.answer_bytes);
 }
 
@@ -163,45 +166,49 @@
           calls.not_executed);
   counter("calls_unknown", "Callers' requests that may have run",
           calls.unknown);
-  counter("calls_abandoned", "Callers that left before their answer",
+  counter("calls_abandoned", "Callers that disconnected before their answer",
           calls.abandoned);
-  counter("calls_sent_again", "Further sends of a request", calls.sent_again);
+  counter("calls_sent_again", "Repeated sends of requests", calls.sent_again);
   counter("calls_ended_by_stop",
-          "Callers' requests that a stop could not await", calls.ended_by_stop);
+          "Callers' requests unfinished when the daemon stopped",
+          calls.ended_by_stop);
   const executor_counters& runs = sources.runs.counters();
-  counter("calls_unauthenticated", "Refused without a key that is held",
+  counter("calls_unauthenticated", "Refused without a valid API key",
           calls.unauthenticated);
-  counter("calls_keys_unconfirmed", "Refused, the view too old to judge keys",
+  counter("calls_keys_unconfirmed",
+          "Refused because the view was too old to check API keys",
           calls.keys_unconfirmed);
   counter("calls_over_quota", "Refused beyond an organisation's quota",
           calls.over_quota);
   counter("runs_completed", "Runs answered by the target", runs.completed);
   counter("runs_refused", "Calls refused for the target", runs.refused);
   counter("runs_unknown", "Runs without an answer", runs.unknown);
-  counter("runs_ended_by_stop", "Runs that a stop could not await",
+  counter("runs_ended_by_stop", "Runs unfinished when the daemon stopped",
           runs.ended_by_stop);
   counter("target_connections_opened", "Connections opened to the target",
           sources.target_connections_opened);
-  counter("target_connections_reused", "Runs on a kept connection",
+  counter("target_connections_reused", "Runs on a reused connection",
           sources.target_connections_reused);
   counter("caller_requests", "Requests read from callers",
           sources.callers.requests);
-  counter("caller_malformed", "Requests that can't be read",
+  counter("caller_malformed", "Malformed requests from callers",
           sources.callers.malformed);
-  counter("log_lines_dropped", "Log lines nobody took in time",
+  counter("log_lines_dropped",
+          "Log lines dropped because the reader was too slow",
           DroppedLogLines());
   const load_report load = sources.runs.Load();
   gauge("running", "Requests at the target", load.in_flight);
-  gauge("queued", "Requests that wait for the target", load.queued);
-  gauge("limit", "Requests that the target runs at a time", load.limit);
+  gauge("queued", "Requests queued for the target", load.queued);
+  gauge("limit", "Concurrency limit of the target", load.limit);
   gauge("caller_connections", "Connections of callers",
         static_cast<double>(sources.callers.sessions));
-  gauge("view_revision", "Newest change of the store in the view",
+  gauge("view_revision", "Newest revision of the store in the view",
         static_cast<double>(sources.view.revision));
   AddLoad(sources.load, &families);
   AddView(sources.view, &families);
   AddQuotas(sources.quotas, &families);
-  gauge("ready", "Whether callers may come", sources.ready ? 1 : 0);
+  gauge("ready", "Whether the daemon is ready for callers",
+        sources.ready ? 1 : 0);
   const auto& view = sources.calls.view();
   if (view != nullptr && view->config != nullptr) {
     gauge("config_version", "Configuration in force",
--- a/src/forward/forward_pages.h
+++ b/src/forward/forward_pages.h
@@ -1,4 +1,4 @@
-// forward_pages: what a forwarding daemon shows on its admin port.
+// forward_pages: pages on the admin port of a forwarding daemon.
 #pragma once
 
 #include <cstddef>
@@ -21,18 +21,18 @@
 class origin;
 struct caller_port_state;
 
-// How new the view in use is, and by whom.
+// Age of the view in use, and how it is kept up to date.
 struct view_page {
   std::uint64_t revision = 0;  // Of the store; zero without a view.
-  milliseconds age{0};  // Since a daemon that reads the store confirmed it.
+  milliseconds age{0};         // Since a reader of the store confirmed it.
   store_reading reading = store_reading::kEager;
   std::uint64_t store_calls = 0;
-  // Of targets, since the store was away just before.
+  // Removals of targets that were delayed after an outage of the store.
   std::uint64_t removals_delayed = 0;
   std::size_t followers = 0;
   follower_counters publishing;
   view_sharing_counters sharing;
-  // How long ago it is proven to have been the newest; nothing if never.
+  // Time since it is proven to have been the newest; empty if never.
   std::optional<milliseconds> proven_age;
 };
 
@@ -44,7 +44,7 @@
 };
 
 struct quota_page {
-  std::uint32_t in_touch = 0;             // Daemons that keep quotas together.
+  std::uint32_t in_touch = 0;  // Daemons that share quotas with this one.
   std::vector<quota_page_entry> refused;  // Organisations with refusals.
 };
 
--- a/src/forward/lapsed_targets.cc
+++ b/src/forward/lapsed_targets.cc
@@ -1,4 +1,4 @@
-// Removed targets and the daemons that vouch for them.
+// Removed targets and the vouching of the daemons beside them.
 #include "include/forward/lapsed_targets.h"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 
 namespace pistachioweir {
 
-// By its id, or as whoever has its address now.
+// Under its id, or with another target at its address.
 bool lapsed_targets::IsListed(const target_entry& entry) const {
   return std::ranges::any_of(listed_, [&](const target_entry& listed) {
     return listed.id == entry.id || listed.address == entry.address;
--- a/src/forward/origin_views.cc
+++ b/src/forward/origin_views.cc
@@ -1,5 +1,6 @@
-// What the origin believes of the services around it: the view in use, with
-// targets that the store has lost, and what is kept for each service.
+// The origin's view of the services around it: the view in use, including
+// targets whose entries have expired in the store, and the state of each
+// service.
 #include <algorithm>
 #include <map>
 #include <memory>
@@ -15,10 +16,11 @@
 namespace pistachioweir {
 namespace {
 
-// Sends of one call, those that are refused before they reach a target
-// included. A refusal by the daemon beside a target costs the target nothing,
-// but each takes a round trip and most of a busy service's targets are equally
-// full. Sends that find nobody say nothing of the others, and don't count.
+// Maximum sends of one call, including those that are refused before they reach
+// a target. A refusal by the daemon beside a target costs the target nothing,
+// but each takes a round trip, and most targets of a busy service are equally
+// loaded. Sends that reach no daemon say nothing about the other targets and
+// don't count.
 constexpr std::uint32_t kMaxSends = 4;
 
 }  // namespace
@@ -87,7 +89,8 @@
           .reserve = options_.repeat_reserve * reserve_share_.Part(now)};
 }
 
-// The part changes with the list of daemons, and with time after that.
+// The share changes with the list of daemons, and over time after such a
+// change.
 void origin::ShareReserve(time_point now) {
   const repeat_budget_options repeating = RepeatOptions(now);
   for (auto& [service, state] : services_) {
@@ -101,8 +104,8 @@
                                        : &view_->targets[found->second];
 }
 
-// Targets that the store has lost come into use, or end it, as daemons vouch
-// for them and cease to.
+// Starts or stops using targets whose entries have expired, as daemons vouch
+// for them or no longer do.
 void origin::KeepLapsed(time_point now) {
   std::vector<target_entry> kept = lapsed_.Kept(now);
   if (kept != kept_) {
@@ -123,10 +126,11 @@
   }
   for (const target_entry& target : before) {
     if (std::ranges::find(kept_, target) == kept_.end()) {
-      LogEvent("target_not_kept",
-               {{.name = "start", .value = StartName(target)},
-                {.name = "why",
-                 .value = "listed again, or its daemon vouches no more"}});
+      LogEvent(
+          "target_not_kept",
+          {{.name = "start", .value = StartName(target)},
+           {.name = "why",
+            .value = "listed again, or its daemon no longer vouches for it"}});
     }
   }
 }
--- a/src/forward/process_load.cc
+++ b/src/forward/process_load.cc
@@ -1,4 +1,4 @@
-// What the process holds, as a line.
+// Logging of the process's load.
 #include "src/forward/process_load.h"
 
 #include <malloc.h>
@@ -10,9 +10,9 @@
 namespace pistachioweir {
 namespace {
 
-// What a daemon may use for control.
+// Memory that a daemon may use for control data.
 constexpr std::size_t kMaxHeapBytes = 32 << 20;
-// Longer than a machine that shares its processor is held up.
+// Longer than the usual stalls on a machine with a shared processor.
 constexpr milliseconds kMaxLag{100};
 
 }  // namespace
--- a/src/forward/process_load.h
+++ b/src/forward/process_load.h
@@ -1,4 +1,4 @@
-// process_load: what the process holds and how late it runs, part by part.
+// process_load: memory, connections and event loop delay of the process.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 namespace pistachioweir {
 
 struct process_load {
-  duration lag{0};             // How late the loop runs its timers.
+  duration lag{0};             // Delay of the event loop's timers.
   std::size_t heap_bytes = 0;  // In use, by the C library's allocator.
   stream_load links;           // To daemons that this one has called.
   stream_load sessions;        // Of daemons that have called this one.
@@ -20,10 +20,10 @@
   std::size_t answer_bytes = 0;  // Kept until their senders settle them.
 };
 
-// Bytes that the allocator has handed out.
+// Bytes allocated from the C library's allocator.
 [[nodiscard]] std::size_t HeapBytes();
 
-// Whether either figure is beyond what a daemon should need.
+// Whether the lag or the heap exceeds what a daemon normally needs.
 [[nodiscard]] bool ExceedsThresholds(const process_load& load);
 
 void LogProcessLoad(const process_load& load);
--- a/src/forward/store_contact.cc
+++ b/src/forward/store_contact.cc
@@ -1,4 +1,4 @@
-// Silences of the store, and what makes absences of them.
+// Periods without answers, and which of them count as outages.
 #include "include/forward/store_contact.h"
 
 #include <algorithm>
--- a/src/forward/view_following.cc
+++ b/src/forward/view_following.cc
@@ -1,4 +1,4 @@
-// Order of the daemons, and the state of those that are followed.
+// Order of the daemons and state of the sources.
 #include "include/forward/view_following.h"
 
 #include <xxhash.h>
@@ -9,8 +9,8 @@
 namespace pistachioweir {
 namespace {
 
-// By a hash of the address: the same at all daemons, and unlike the order of
-// the addresses themselves, which are given out service by service.
+// Sorts by a hash of the address, which gives all daemons the same order. The
+// addresses themselves would not do: they are assigned service by service.
 void SortByHash(std::vector<std::string>* ips) {
   std::vector<std::pair<std::uint64_t, std::string>> hashed;
   hashed.reserve(ips->size());
@@ -55,8 +55,9 @@
     return;
   }
   if (same) {
-    // The age says nothing of the report's own delay. What two daemons tell
-    // each other on every frame would get no older, and keep both fresh.
+    // The age doesn't include the transit of the report itself. Without it,
+    // confirmations that two daemons exchange on every frame would not age and
+    // would keep both views fresh.
     const milliseconds delay =
         age > milliseconds(0) ? kReportDelay : milliseconds(0);
     confirmed_ = std::max(confirmed_, now - age - delay);
@@ -97,8 +98,8 @@
          now - *known->second.excluded_since < options_.exclusion;
 }
 
-// A source speaks several times within `silence`. If this daemon itself stood
-// still meanwhile, it has not listened, and nobody is to blame.
+// A source sends several reports within `source_timeout`. If this daemon itself
+// was stalled, it could not receive them, and no source is excluded.
 void view_following::ExpireSources(time_point now) {
   const bool was_stalled = now - last_plan_ > options_.source_timeout;
   last_plan_ = now;
@@ -122,7 +123,7 @@
 std::vector<std::string> view_following::Serving(time_point now) const {
   std::vector<std::string> serving;
   for (const std::string& ip : local_) {
-    // A daemon that the store fails can't read for others.
+    // A daemon whose reads fail can't read for others.
     const bool serves =
         ip == options_.self.ip ? !last_read_failed_ : !IsExcluded(ip, now);
     if (serves) {
@@ -138,9 +139,9 @@
          static_cast<std::size_t>(position - order.begin()) < options_.readers;
 }
 
-// Pairs of daemons that stand one behind the other serve groups of `fan_out`:
-// the first pair, which reads, the first group behind it, the second pair the
-// second group, and so on.
+// Consecutive pairs of daemons serve consecutive groups of `fan_out`: the first
+// pair, which reads the store, serves the first group after it, the second pair
+// the second group, and so on.
 std::vector<std::string> view_following::Sources(
     const std::vector<std::string>& serving,
     std::size_t own_index,
@@ -156,8 +157,8 @@
       sources.push_back(serving[i]);
     }
   }
-  // The only daemon of its data centre, or the only one left, has to look
-  // elsewhere; one of two that read has the other.
+  // The only daemon of its data centre, or the only one left, follows daemons
+  // of other data centres; one of two readers follows the other.
   if (sources.empty()) {
     AddRemote(&sources, now);
   }
@@ -174,7 +175,7 @@
   }
 }
 
-// Those that are passed over are kept until then: a report of theirs ends that.
+// Excluded sources are kept until their exclusion ends: a report ends it early.
 void view_following::SetSources(const std::vector<std::string>& sources,
                                 const std::vector<std::string>& serving,
                                 time_point now) {
@@ -192,15 +193,15 @@
     const bool should_read = std::find(serving.begin(), serving.begin() + front,
                                        ip) != serving.begin() + front;
     if (should_read && !chosen.should_read) {
-      chosen.since = now;  // From now on it should.
+      chosen.since = now;  // From now on it has to read.
     }
     chosen.should_read = should_read;
   }
 }
 
-// Of a source that is passed over a report is still wanted: it ends that. Only
-// of those in front, which others turn to first; while the store is away for
-// everybody, all sources are passed over one after the other.
+// Excluded sources are still followed, since a report ends the exclusion. Only
+// the first in the order are, which other daemons choose first: during an
+// outage of the store all sources are excluded one after the other.
 void view_following::AddExcluded(std::vector<std::string>* sources) const {
   const std::size_t most = std::min(local_.size(), 2 * options_.readers);
   for (std::size_t i = 0; i < most; ++i) {
@@ -239,7 +240,7 @@
   following_plan plan;
   plan.sources = Sources(
       serving, static_cast<std::size_t>(position - serving.begin()), now);
-  // The store may turn the whole data centre away, and serve the others.
+  // The store may reject the whole data centre and serve the others.
   if (none_serving) {
     AddRemote(&plan.sources, now);
   }
--- a/src/forward/view_freshness.cc
+++ b/src/forward/view_freshness.cc
@@ -1,4 +1,4 @@
-// Proofs, and those that wait for the view.
+// Current proof, and the pending one of a later revision.
 #include "include/forward/view_freshness.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 void view_freshness::Confirm(const freshness_proof& proof, boot_time asked) {
   if (proof.revision == 0) {
-    return;  // Of a daemon that has no view.
+    return;  // The sender has no view.
   }
   const boot_time proven = asked - proof.age;
   if (proof.revision <= revision_) {
--- a/src/forward/view_sharing.cc
+++ b/src/forward/view_sharing.cc
@@ -1,4 +1,4 @@
-// Heartbeats, plans and questions.
+// Heartbeats, plans and requests to other daemons.
 #include "src/forward/view_sharing.h"
 
 #include <algorithm>
@@ -10,23 +10,24 @@
 namespace pistachioweir {
 namespace {
 
-// Followers hear this often that the daemon is there, and what it knows.
+// Interval of the heartbeats to followers, which carry the daemon's revision.
 constexpr milliseconds kHeartbeatInterval{250};
-// The store answers within some 10 ms of a start, so that nobody is asked as
-// long as it is well; a caller hardly notices the time.
+// The store answers within some 10 ms of a start, so that other daemons are
+// asked only if it fails; the delay is negligible for callers.
 constexpr milliseconds kFirstAskDelay{100};
 constexpr milliseconds kAskInterval{300};
-// Another daemon knows of a newer change. Sources tell of changes within some
-// 10 ms; after this time they are doubted and the other one is asked.
+// How long to wait for a change that another daemon has reported. Sources send
+// changes within some 10 ms; after this time the reporting daemon is asked
+// instead.
 constexpr milliseconds kAskDelay{100};
-// After the target's entry has vanished the daemon reads the store by itself
-// for this long: as long as other daemons keep the target in case that it
-// lives.
+// After the target's entry has vanished the daemon reads the store itself for
+// this long: as long as other daemons retain the removed target in case that it
+// is still alive.
 constexpr milliseconds kReadAfterUnlisted{6000};
 
-// Of the oldest view that keys may be judged by: from the first part on the
-// daemons that are followed are asked for a newer proof, from the second on
-// some others as well.
+// Divisors of the maximum age of a view for checking keys: above the first
+// fraction the followed daemons are asked for a newer proof, above the second
+// one some others as well.
 constexpr int kAskSourcesDivisor = 5;
 constexpr int kAskOthersDivisor = 2;
 constexpr std::size_t kOthersAsked = 3;
@@ -67,9 +68,9 @@
   return following_.Age(monotonic_clock::now());
 }
 
-// While the store has not answered yet, others that are connected are asked for
-// all that they know (guard EMPTY_TELLS_NOTHING in spec/shared_views.pml: a
-// fleet that starts as a whole while the store is away goes on refusing).
+// Until the store's first answer, connected daemons are asked for a full
+// snapshot (guard EMPTY_TELLS_NOTHING in spec/shared_views.pml: a fleet that
+// starts as a whole during an outage of the store keeps refusing calls).
 void view_sharing::AskConnected(milliseconds delay) {
   start_.expires_after(delay);
   start_.async_wait([this](boost::system::error_code error) {
@@ -106,8 +107,8 @@
     }
   }
   following_plan plan = following_.Plan(now);
-  // Whether the target has left, or its VM is cut off from the store, shows by
-  // a call alone.
+  // Only a call to the store shows whether the target has left or its VM is cut
+  // off from the store.
   if (own_unlisted_since_ && now - *own_unlisted_since_ < kReadAfterUnlisted) {
     plan.reading = store_reading::kEager;
   }
@@ -132,7 +133,7 @@
   bool own_ready = false;
   for (const target_entry& target : view.targets) {
     const bool ready = target.state == target_state::kReady;
-    // The VM of a leaving target is about to go.
+    // The VM of a leaving target is about to stop.
     if (ready) {
       daemons.push_back(
           {.ip = target.address.ip, .data_centre = target.data_centre});
@@ -149,9 +150,9 @@
     own_unlisted_since_ = monotonic_clock::now();
   }
   own_ready_ = own_ready;
-  // The first view that names others ends the start: the next heartbeat would
-  // be late for all of a fleet that starts as a whole, and each would read by
-  // itself.
+  // The first view that lists other daemons is planned for at once: if a whole
+  // fleet waited for its next heartbeats at the start, each daemon would read
+  // the store itself.
   if (sources_.empty() && options_.readers == reader_policy::kFew) {
     Plan(monotonic_clock::now());
   }
@@ -209,8 +210,8 @@
   following_.OnLost(ip, monotonic_clock::now());
 }
 
-// Sources may be cut off, or may have missed something themselves; whoever
-// knows of more can say what.
+// Sources may be cut off or may have missed changes themselves; the daemon that
+// reported the newer revision has them.
 void view_sharing::ArmAsk(milliseconds delay) {
   if (std::exchange(ask_armed_, true)) {
     return;
@@ -242,7 +243,7 @@
   if (taken) {
     CountAge(changes.read_ago);
   }
-  // Two sources tell everything twice.
+  // Two sources send every change twice.
   if (verdict == changes_verdict::kNotNewer) {
     return;
   }
@@ -259,7 +260,8 @@
         .value = std::to_string(changes.read_ago.count())}});
 }
 
-// While any neighbour has a newer proof, requests with good keys go on.
+// With a newer proof of any other daemon, requests with valid keys are still
+// accepted.
 void view_sharing::AskProofs() {
   if (options_.max_key_age == milliseconds(0)) {
     return;
@@ -285,7 +287,7 @@
   return freshness_.Age(boot_clock::now());
 }
 
-// The age counts on through every daemon that it comes by (guard AGE_COUNTS in
+// The age accumulates over all daemons on the path (guard AGE_COUNTS in
 // spec/key_withdrawal.pml).
 std::optional<freshness_proof> view_sharing::Proof() {
   const auto age = proven_age();
--- a/src/forward/view_sharing.h
+++ b/src/forward/view_sharing.h
@@ -1,5 +1,5 @@
 // view_sharing: keeps a daemon's view up to date together with other daemons:
-// some read the platform's store, the others hear from them what changes.
+// some read the platform's store and send the changes to the others.
 #pragma once
 
 #include <array>
@@ -28,14 +28,14 @@
   daemon_location self;
   endpoint own_target;
   reader_policy readers = reader_policy::kFew;
-  // How old the view may be proven to be before API keys can't be judged by it;
-  // zero if nobody wants to know.
+  // Maximum proven age of the view at which API keys can be checked against it;
+  // zero if the age isn't limited.
   milliseconds max_key_age{0};
 };
 
-// What the daemon's other parts do for it.
+// Functions of the daemon's other components.
 struct view_sharing_callbacks {
-  // The source of views.
+  // Calls to the source of views.
   std::function<view_state()> state;
   std::function<void(store_reading)> set_reading;
   std::function<void(std::uint64_t revision)> note_revision;
@@ -57,16 +57,16 @@
 struct view_sharing_counters {
   static constexpr std::array<int, 6> kBounds = {10, 30, 100, 300, 1000, 3000};
 
-  std::uint64_t taken = 0;        // Frames of changes that had news.
-  std::uint64_t not_applied = 0;  // And that had none, or too late a beginning.
-  std::uint64_t asked = 0;        // Another daemon, since it knew of more.
-  // Of those taken, by the milliseconds since a daemon read them at the store:
-  // up to each bound, and beyond the last.
+  std::uint64_t taken = 0;        // Frames of changes that were applied.
+  std::uint64_t not_applied = 0;  // Frames that were not newer, or had a gap.
+  std::uint64_t asked = 0;        // Requests to daemons with a newer revision.
+  // Histogram of the applied frames by the milliseconds since a daemon read
+  // them from the store: up to each bound, and above the last.
   std::array<std::uint64_t, kBounds.size() + 1> by_age{};
   double age_seconds = 0;  // Sum.
 };
 
-// Used on its context's thread only.
+// Must be used on its context's thread only.
 class view_sharing {
  public:
   view_sharing(boost::asio::io_context& context,
@@ -76,30 +76,33 @@
   void Start();
   void Stop();
 
-  // A view has come into use.
+  // A view has become current.
   void OnView(const service_view& view);
-  // More is known than before, told by the daemon at `from`, or read if that is
-  // empty.
+  // The view has new changes, received from the daemon at `from`, or read from
+  // the store if that is empty.
   void OnUpdate(const std::string& from);
   void OnReport(const std::string& ip, const neighbour_report& report);
   // The daemon at `ip` can't be reached, or is stopping.
   void OnLost(const std::string& ip);
   void OnChanges(const view_changes& told);
-  // Another daemon, asked at `asked`, proved how new its view is.
+  // Another daemon answered a request sent at `asked` with the freshness of its
+  // view.
   void OnProof(const freshness_proof& proof, boot_time asked);
 
-  // What changed behind `revision` as a frame; nullptr if nothing did.
+  // Returns a frame with all changes after `revision`; nullptr if there are
+  // none.
   [[nodiscard]] std::shared_ptr<const std::string> FrameSince(
       std::uint64_t revision);
   [[nodiscard]] std::uint64_t revision() const {
     return callbacks_.state().revision;
   }
-  // How long ago a daemon that reads the store confirmed the view.
+  // Time since a reader of the store confirmed the view.
   [[nodiscard]] milliseconds age() const;
-  // How long ago the store answered this daemon, if it reads the store, else a
-  // daemon that it follows.
+  // Time since the store's last answer to this daemon if it reads the store, or
+  // else to a daemon that it follows.
   [[nodiscard]] std::optional<milliseconds> store_answered_ago() const;
-  // How long ago the view is proven to have been the store's newest state.
+  // Proven age of the view: time since it was certainly the store's newest
+  // state.
   [[nodiscard]] std::optional<milliseconds> proven_age();
   [[nodiscard]] std::optional<freshness_proof> Proof();
   [[nodiscard]] store_reading reading() const { return reading_; }
@@ -125,19 +128,19 @@
   view_freshness freshness_;
   store_reading reading_ = store_reading::kEager;
   std::vector<std::string> sources_;
-  // The newest change that another daemon told of, and which one.
+  // The newest revision that another daemon reported, and its address.
   std::uint64_t newest_reported_ = 0;
   std::string newest_reporter_;
   bool ask_armed_ = false;
-  // The newest answer of the store that a source told of. What daemons that are
-  // not followed tell isn't told on: it would go round in circles, and each
-  // frame's way would make it newer.
+  // The newest answer of the store that a source reported. Reports of daemons
+  // that are not followed aren't passed on: they would circulate, and each
+  // frame's transit would make them appear newer.
   std::optional<time_point> source_answered_;
-  // Whether the target beside the daemon was listed as ready, and since when it
-  // isn't listed any more.
+  // Whether the target beside the daemon was last listed as ready, and since
+  // when it is no longer listed.
   bool own_ready_ = false;
   std::optional<time_point> own_unlisted_since_;
-  // The last frame that was made, for all followers that know as much.
+  // The last encoded frame, shared by all followers at the same revision.
   std::uint64_t framed_after_ = 0;
   std::shared_ptr<const std::string> frame_;
   view_sharing_counters counters_;
--- a/tests/forward_settings_test.cc
+++ b/tests/forward_settings_test.cc
@@ -1,4 +1,4 @@
-// Settings of a daemon between a platform's protocols.
+// Parsing of the settings of a forwarding daemon.
 #include "include/forward/forward_settings.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
          more + "}";
 }
 
-TEST(ForwardSettingsTest, AFewDaemonsReadTheStoreUnlessToldOtherwise) {
+TEST(ForwardSettingsTest, AFewDaemonsReadTheStoreByDefault) {
   const auto plain = ParseForwardSettings(With(""), "a.json");
   ASSERT_TRUE(plain.ok());
   EXPECT_EQ(plain.value.store_readers, reader_policy::kFew);
@@ -26,7 +26,8 @@
   EXPECT_EQ(all.value.store_readers, reader_policy::kAll);
 }
 
-// Guards against a daemon that doesn't start where a sheet has fractions.
+// Guards against a daemon that doesn't start with settings that contain
+// fractions.
 TEST(ForwardSettingsTest, RatesReservesAndMemoryMayBeFractions) {
   const auto parsed =
       ParseForwardSettings(With(R"(, "repeat_reserve": 21.627906976744185,
@@ -38,8 +39,8 @@
   EXPECT_DOUBLE_EQ(parsed.value.memory_mb, 160.5);
 }
 
-// An operator misspells the value at night: the daemon must not start with
-// something else than was meant.
+// An operator misspells the value: the daemon must not start with a different
+// policy than intended.
 TEST(ForwardSettingsTest, AnUnknownPolicyIsAnErrorThatNamesItsPlace) {
   for (const char* value : {"\"each\"", "7", "null"}) {
     const auto parsed = ParseForwardSettings(
--- a/tests/lapsed_targets_test.cc
+++ b/tests/lapsed_targets_test.cc
@@ -1,4 +1,5 @@
-// Targets that the store has lost, and the words of the daemons beside them.
+// Targets whose entries have expired in the store, and the vouching of the
+// daemons beside them.
 #include "include/forward/lapsed_targets.h"
 
 #include <gtest/gtest.h>
@@ -47,10 +48,10 @@
   lapsed_targets targets_;
 };
 
-// The VMs of one service lose the store but nothing else. All its entries run
-// out, and every request that needs the service would be refused although its
-// targets serve.
-TEST_F(lapsed_targets_test, AWholeServiceThatRanOutStaysInUse) {
+// The VMs of one service are cut off from the store alone. All its entries
+// expire, and without vouching every request for the service would be refused
+// although its targets work.
+TEST_F(lapsed_targets_test, AServiceWithAllEntriesExpiredStaysInUse) {
   List({1, 2, 3, 4}, kStart);
   time_point now = kStart + seconds(4);
   for (const int number : {1, 2, 3, 4}) {
@@ -68,17 +69,17 @@
   }
 }
 
-// A target leaves without a word while its daemon reads the store. Requests
-// sent to it later than the bound would be lost with it.
-TEST_F(lapsed_targets_test, ATargetWhoseDaemonReadsTheStoreIsGoneAtOnce) {
+// A target leaves without notice while its daemon reads the store. Requests
+// sent to it after the two seconds would be lost.
+TEST_F(lapsed_targets_test, ATargetWhoseDaemonReadsTheStoreIsRemovedAtOnce) {
   List({1, 2}, kStart);
   targets_.OnVouched(IpOf(1), "", kStart);
   List({2}, kStart + milliseconds(1));
   EXPECT_EQ(kept(kStart + milliseconds(1)), 0U);
 }
 
-// One of two targets that ran out leaves, the other lives on.
-TEST_F(lapsed_targets_test, AWordThatIsTakenBackEndsIt) {
+// One of two targets with expired entries leaves, the other one keeps running.
+TEST_F(lapsed_targets_test, WithdrawnVouchingEndsUse) {
   List({1, 2}, kStart);
   Vouch(1, kStart);
   Vouch(2, kStart);
@@ -88,7 +89,7 @@
   EXPECT_EQ(targets_.Kept(kStart + milliseconds(10))[0].id, "i-2");
 }
 
-TEST_F(lapsed_targets_test, AWordThatIsNotRenewedRunsOut) {
+TEST_F(lapsed_targets_test, VouchingThatIsNotRenewedExpires) {
   List({1}, kStart);
   Vouch(1, kStart);
   List({}, kStart);
@@ -97,9 +98,9 @@
             0U);
 }
 
-// The daemon's connection to the store dies without a sign, and it finds out
-// only after the entry of its target has run out.
-TEST_F(lapsed_targets_test, AWordThatComesLateBringsTheTargetBack) {
+// The daemon's connection to the store dies silently, and the daemon notices
+// only after the entry of its target has expired.
+TEST_F(lapsed_targets_test, LateVouchingRestoresTheTarget) {
   List({1}, kStart);
   List({}, kStart + seconds(1));
   EXPECT_EQ(kept(kStart + seconds(1)), 0U);
@@ -107,7 +108,7 @@
   EXPECT_EQ(kept(kStart + seconds(3)), 1U);
 }
 
-TEST_F(lapsed_targets_test, AWordForWhatIsLongForgottenBringsNothingBack) {
+TEST_F(lapsed_targets_test, VouchingAfterTheRetentionRestoresNothing) {
   List({1}, kStart);
   List({}, kStart);
   const time_point later =
@@ -117,9 +118,10 @@
   EXPECT_EQ(kept(later), 0U);
 }
 
-// The address is given to a target of another service while the old one's
-// daemon is still believed. Requests of the old service must not go there.
-TEST_F(lapsed_targets_test, AnotherTargetAtTheAddressEndsIt) {
+// The address is assigned to a target of another service while the vouching for
+// the old one is still valid. Requests for the old service must not be sent
+// there.
+TEST_F(lapsed_targets_test, AnotherTargetAtTheAddressEndsUse) {
   List({1}, kStart);
   Vouch(1, kStart);
   List({}, kStart);
@@ -131,9 +133,9 @@
   EXPECT_EQ(kept(kStart + milliseconds(6)), 0U);
 }
 
-// The target starts again under its id; its daemon vouches for the new start.
-// What the store had was the old one.
-TEST_F(lapsed_targets_test, AWordForAnotherStartKeepsNothing) {
+// The target restarts under its id and its daemon vouches for the new start,
+// but the removed entry was of the old one.
+TEST_F(lapsed_targets_test, VouchingForAnotherStartKeepsNothing) {
   List({1}, kStart);
   target_entry again = Target(1);
   again.start = incarnation_id{2000};
@@ -151,12 +153,12 @@
   EXPECT_EQ(kept(kStart), 0U);
 }
 
-// Whatever comes in which order: nothing is kept that is listed, whose address
-// is taken, or whose vouching isn't a fresh one for just this start.
-RC_GTEST_PROP(LapsedTargetsTest, NothingIsKeptWithoutAFreshWord, ()) {
+// For any order of events, no target is kept that is listed, whose address is
+// in use, or that has no valid vouching for this very start.
+RC_GTEST_PROP(LapsedTargetsTest, NothingIsKeptWithoutValidVouching, ()) {
   lapsed_targets targets;
   std::vector<bool> listed(4, false);
-  std::vector<time_point> word(4, time_point());
+  std::vector<time_point> vouched_at(4, time_point());
   time_point now = kStart;
   const auto steps =
       *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4000));
@@ -173,18 +175,18 @@
       }
       targets.SetListed(list, now);
     } else if (step % 3 == 1) {
-      word[place] = now;
+      vouched_at[place] = now;
       targets.OnVouched(IpOf(place), StartName(Target(place)), now);
     } else {
-      word[place] = time_point();
+      vouched_at[place] = time_point();
       targets.OnVouched(IpOf(place), "", now);
     }
     targets.Expire(now);
     for (const target_entry& kept : targets.Kept(now)) {
       const int number = kept.id.back() - '0';
       RC_ASSERT(!listed[number]);
-      RC_ASSERT(word[number] != time_point());
-      RC_ASSERT(now - word[number] <= lapsed_targets::kVouchingLease);
+      RC_ASSERT(vouched_at[number] != time_point());
+      RC_ASSERT(now - vouched_at[number] <= lapsed_targets::kVouchingLease);
     }
   }
 }
@@ -202,20 +204,20 @@
   target_vouching vouching_;
 };
 
-TEST_F(target_vouching_test, SpeaksForALiveTargetWhileTheStoreIsLost) {
+TEST_F(target_vouching_test, VouchesForALiveTargetWhileTheStoreIsLost) {
   EXPECT_EQ(vouching_.VouchedStart(lost_, kStart), kTarget);
 }
 
 // A target that vanishes from a store that its daemon reads has left.
-TEST_F(target_vouching_test, SaysNothingWhileTheStoreIsRead) {
+TEST_F(target_vouching_test, DoesNotVouchWhileTheStoreIsRead) {
   EXPECT_EQ(vouching_.VouchedStart({.revision = 7}, kStart), "");
 }
 
-// Six VMs are cut off from the store alone, and others tell their daemons that
-// the entries of the targets beside them have run out. Each daemon stopped
-// vouching for its target at that moment, and 11,919 calls of one day found no
-// target (lines: target_kept, and target_not_kept 0.2 s later).
-TEST_F(target_vouching_test, HearingThatTheEntryHasVanishedEndsNothing) {
+// Six VMs are cut off from the store alone, and other daemons report to their
+// daemons that the entries of their targets have vanished. Each daemon stopped
+// vouching at that moment, and 11,919 calls of one day found no target (log:
+// target_kept, and target_not_kept 0.2 s later).
+TEST_F(target_vouching_test, AReportOfTheVanishedEntryDoesNotEndVouching) {
   vouching_.SetUnlisted(kStart);
   vouching_.Tick(lost_, kStart + milliseconds(900));
   EXPECT_EQ(vouching_.VouchedStart(lost_, kStart + milliseconds(900)), kTarget);
@@ -224,9 +226,9 @@
   EXPECT_EQ(vouching_.VouchedStart(lost_, kStart + seconds(9)), kTarget);
 }
 
-// The target has left, which its daemon sees in the store. When the VM is cut
-// off later, whoever answers there is no reason to use the target again.
-TEST_F(target_vouching_test, WhatHasLeftIsNotVouchedForLater) {
+// The daemon reads from the store that the target has left. If the VM is cut
+// off later, an answer at the address must not bring the target back into use.
+TEST_F(target_vouching_test, ATargetThatHasLeftIsNotVouchedForLater) {
   vouching_.SetUnlisted(kStart);
   const time_point later = kStart + seconds(3);
   vouching_.Tick({.revision = 7}, later);
@@ -234,14 +236,14 @@
   EXPECT_EQ(vouching_.VouchedStart(lost_, later), "");
 }
 
-TEST_F(target_vouching_test, OneLostAnswerIsNoLostStore) {
+TEST_F(target_vouching_test, OneLostAnswerDoesNotMeanALostStore) {
   const view_state just_lost{.lost_since = kStart - milliseconds(100)};
   EXPECT_EQ(vouching_.VouchedStart(just_lost, kStart), "");
 }
 
-// A target leaves while the store turns its daemon away: its answers still
-// come, but each ends its connection.
-TEST_F(target_vouching_test, ATargetThatEndsItsConnectionsIsLeaving) {
+// A target leaves while the store rejects its daemon: it still answers, but
+// closes the connection after each answer.
+TEST_F(target_vouching_test, ATargetThatClosesItsConnectionsIsLeaving) {
   time_point now = kStart;
   for (int i = 0; i < 15; ++i) {
     now += milliseconds(100);
@@ -250,7 +252,7 @@
   EXPECT_EQ(vouching_.VouchedStart(lost_, now), "");
 }
 
-// Requests of daemons with older views, and those that waited, reached targets
+// Queued requests, and requests of daemons with older views, reached targets
 // that had left.
 TEST_F(target_vouching_test, ATargetThatHasLeftGetsNoRequests) {
   const view_state reads{.revision = 7};
@@ -278,15 +280,15 @@
       lost_, kStart + target_vouching::kLease + milliseconds(1)));
 }
 
-TEST_F(target_vouching_test, AnEndedTargetDoesNotAnswer) {
+TEST_F(target_vouching_test, VouchingEndsWithoutAnswersOfTheTarget) {
   const time_point later =
       kStart + target_vouching::kMaxAnswerAge + milliseconds(1);
   EXPECT_EQ(vouching_.VouchedStart(lost_, later), "");
 }
 
-// The store is back, and with it the entry within two seconds if the target
-// reaches it; what is missing after that has gone.
-TEST_F(target_vouching_test, StopsTwoSecondsAfterTheStoresReturn) {
+// After the store's return the entry is back within two seconds if the target
+// reaches the store; a target that is still missing then has left.
+TEST_F(target_vouching_test, VouchingStopsTwoSecondsAfterTheStoresReturn) {
   const view_state back{.regained_at = kStart};
   EXPECT_EQ(vouching_.VouchedStart(back, kStart + milliseconds(900)), kTarget);
   const time_point later = kStart + target_vouching::kReturnTime;
@@ -294,7 +296,7 @@
   EXPECT_EQ(vouching_.VouchedStart(back, later), "");
 }
 
-// What answered before was another start.
+// The earlier answer came from another start.
 TEST_F(target_vouching_test, ANewStartMustAnswerFirst) {
   vouching_.SetTarget("i-1@2000");
   EXPECT_EQ(vouching_.VouchedStart(lost_, kStart), "");
@@ -302,7 +304,7 @@
   EXPECT_EQ(vouching_.VouchedStart(lost_, kStart), "i-1@2000");
 }
 
-TEST_F(target_vouching_test, ATargetThatIsNotListedAsReadyGetsNoWord) {
+TEST_F(target_vouching_test, ATargetThatIsNotListedAsReadyIsNotVouchedFor) {
   vouching_.SetTarget("");
   vouching_.OnAnswer(false, kStart);
   EXPECT_EQ(vouching_.VouchedStart(lost_, kStart), "");
--- a/tests/leaving_target_test.cc
+++ b/tests/leaving_target_test.cc
@@ -1,5 +1,5 @@
-// Within what time a target that leaves without a word is out of use, whatever
-// single daemons believe of the store.
+// Time until a target that leaves without notice is out of use, even if single
+// daemons misjudge the state of the store.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -15,11 +15,11 @@
 namespace {
 
 const time_point kStart{seconds(1000)};
-// Nothing may reach a target later than this after the store has acknowledged
-// that it leaves.
+// No request may reach a target later than this after the store has
+// acknowledged its leaving.
 constexpr milliseconds kDrain{2000};
-// Of that, what a request may take from its last placing to its target.
-constexpr milliseconds kRequestWay{400};
+// Part of kDrain that a request may take from its last placement to its target.
+constexpr milliseconds kRequestTransit{400};
 
 constexpr std::string_view kTarget =
     R"({"address":"10.0.0.1:80","info":{"service":"registry","version":"v1",
@@ -41,7 +41,7 @@
           .from = from};
 }
 
-// Whose view has just been taken.
+// A builder that lists the target and whose view has been taken.
 view_builder WithTheTarget() {
   view_builder builder;
   builder.Apply(Listed(), kStart);
@@ -55,10 +55,11 @@
   return view == nullptr || !view->targets.empty();
 }
 
-// The return of one daemon's link kept targets that had left in use everywhere.
+// When one daemon's link to the store came back, all daemons kept targets in
+// use that had left.
 TEST(LeavingTargetTest, TheReturnOfAnotherDaemonsLinkKeepsNoTarget) {
   view_builder builder = WithTheTarget();
-  // This daemon reads the store all the time.
+  // This daemon reads the store without interruption.
   for (int i = 0; i <= 5; ++i) {
     builder.NoteAnswer(kStart + i * milliseconds(1500));
   }
@@ -69,11 +70,12 @@
   EXPECT_FALSE(Uses(builder, told));
 }
 
-// A daemon whose own link to the store had failed kept what had left meanwhile.
+// A daemon whose own link to the store had failed kept targets that had left in
+// that time.
 TEST(LeavingTargetTest, TheReturnOfTheOwnLinkKeepsNoTarget) {
   view_builder builder = WithTheTarget();
   builder.NoteAnswer(kStart);
-  // Others that read the store tell when it answered them.
+  // Other readers report when the store answered them.
   for (int i = 1; i <= 3; ++i) {
     builder.NoteOthersAnswer(kStart + i * milliseconds(1400));
   }
@@ -84,9 +86,9 @@
   EXPECT_FALSE(Uses(builder, back));
 }
 
-// A daemon that was cut off from everybody hears only behind its return that
-// the store was there.
-TEST(LeavingTargetTest, ADelayEndsOnceTheStoreTurnsOutToHaveBeenThere) {
+// A daemon that was cut off from the store and all daemons learns only after
+// its return that there was no outage of the store.
+TEST(LeavingTargetTest, ADelayEndsOnceAnOutageIsRuledOut) {
   view_builder builder = WithTheTarget();
   builder.NoteAnswer(kStart);
   const time_point back = kStart + milliseconds(4000);
@@ -98,8 +100,8 @@
   EXPECT_FALSE(Uses(builder, back));
 }
 
-// The other side: the store was away for all, and its entries had run out.
-TEST(LeavingTargetTest, AnAbsenceOfTheStoreForAllKeepsTargets) {
+// The opposite case: the store had an outage, and its entries expired.
+TEST(LeavingTargetTest, AnOutageOfTheStoreKeepsTargets) {
   view_builder builder = WithTheTarget();
   builder.NoteAnswer(kStart);
   builder.NoteOthersAnswer(kStart + milliseconds(300));
@@ -112,9 +114,9 @@
   EXPECT_FALSE(Uses(builder, back + view_builder::kReturnTime));
 }
 
-// A daemon that began to read just before a silent store was back took what had
-// run out for what had left, and told others so.
-TEST(LeavingTargetTest, OneCallWithoutAnAnswerTellsAnAbsence) {
+// A daemon that began to read just before the end of an outage took expired
+// entries for targets that had left, and propagated the removals.
+TEST(LeavingTargetTest, OneUnansweredCallIndicatesAnOutage) {
   view_builder builder = WithTheTarget();
   builder.NoteOthersAnswer(kStart);
   const time_point asked = kStart + milliseconds(3000);
@@ -125,8 +127,9 @@
   EXPECT_TRUE(Uses(builder, back));
 }
 
-// A daemon's word for a target that has left was relied on for three seconds.
-TEST(LeavingTargetTest, AWordForATargetThatHasLeftIsOverInTime) {
+// A daemon's vouching for a target that had left was relied on for three
+// seconds.
+TEST(LeavingTargetTest, VouchingForATargetThatHasLeftEndsInTime) {
   const target_entry target{.id = "i-1",
                             .service = "registry",
                             .address = {.ip = "10.0.0.1", .port = 80}};
@@ -138,20 +141,20 @@
   const time_point left = kStart + seconds(4);
   vouching.OnAnswer(false, left);
   lapsed.SetListed({}, left + milliseconds(100));
-  // The word is on each frame from that daemon.
+  // Each frame from that daemon carries its vouching.
   for (milliseconds after{0}; after <= kDrain; after += milliseconds(50)) {
     const time_point now = left + after;
     vouching.OnAnswer(after > milliseconds(0), now);
     lapsed.OnVouched(target.address.ip, vouching.VouchedStart(lost, now),
                      vouching.answered());
-    if (after > kDrain - kRequestWay) {
+    if (after > kDrain - kRequestTransit) {
       EXPECT_TRUE(lapsed.Kept(now).empty()) << after.count();
     }
     if (vouching.VouchedStart(lost, now + milliseconds(50)).empty()) {
-      break;  // No frame comes any more.
+      break;  // No further frame vouches for it.
     }
   }
-  EXPECT_TRUE(lapsed.Kept(left + kDrain - kRequestWay).empty());
+  EXPECT_TRUE(lapsed.Kept(left + kDrain - kRequestTransit).empty());
 }
 
 }  // namespace
--- a/tests/store_contact_test.cc
+++ b/tests/store_contact_test.cc
@@ -1,4 +1,4 @@
-// When the store counts as having been away for all.
+// Detection of outages of the store.
 #include "include/forward/store_contact.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 const time_point kStart{seconds(1000)};
 
-TEST(StoreContactTest, AnAbsenceOfTheStoreEndsWithItsFirstAnswer) {
+TEST(StoreContactTest, AnOutageEndsWithTheFirstAnswer) {
   store_contact contact;
   contact.OnAnswered(kStart);
   const time_point back = kStart + seconds(4);
@@ -22,15 +22,15 @@
   EXPECT_EQ(contact.last_answer(), back);
 }
 
-TEST(StoreContactTest, SilenceWithoutAFailureIsNoAbsence) {
+TEST(StoreContactTest, SilenceWithoutAFailureIsNoOutage) {
   store_contact contact;
   contact.OnAnswered(kStart);
   contact.OnAnswered(kStart + seconds(8));
   EXPECT_EQ(contact.returned_at(), std::nullopt);
 }
 
-// One daemon's broken way to the store looked like an absence of the store.
-TEST(StoreContactTest, AnAnswerToAnotherDaemonRefutesAnAbsence) {
+// One daemon's broken path to the store looked like an outage of the store.
+TEST(StoreContactTest, AnAnswerToAnotherDaemonRulesOutAnOutage) {
   store_contact contact;
   contact.OnAnswered(kStart);
   contact.OnAnswered(kStart + milliseconds(1500));
@@ -40,7 +40,7 @@
   EXPECT_EQ(contact.returned_at(), std::nullopt);
 }
 
-TEST(StoreContactTest, AnAnswerThatIsToldLateRefutesAnAbsence) {
+TEST(StoreContactTest, AnAnswerReportedLateRulesOutAnOutage) {
   store_contact contact;
   contact.OnAnswered(kStart);
   contact.OnFailed(kStart + seconds(1), kStart + seconds(4));
@@ -50,8 +50,8 @@
   EXPECT_EQ(contact.returned_at(), std::nullopt);
 }
 
-// A daemon that stood still took its own silence for the store's.
-TEST(StoreContactTest, WhoeverStoodStillMissesNoAnswer) {
+// A daemon that had been stalled took its own pause for an outage of the store.
+TEST(StoreContactTest, AStalledDaemonCountsNoMissingAnswer) {
   const time_point due = kStart;
   const time_point abandoned_at = due + milliseconds(700);
   EXPECT_EQ(UnansweredSince(due, abandoned_at, abandoned_at + milliseconds(5)),
@@ -60,9 +60,8 @@
   EXPECT_EQ(UnansweredSince(due, abandoned_at, woken), woken);
 }
 
-// Whatever is told in which order, an absence is a silence of all that is
-// known.
-RC_GTEST_PROP(StoreContactTest, AnAbsenceHasNoAnswerInIt, ()) {
+// For any order of reports, no known answer lies within an outage.
+RC_GTEST_PROP(StoreContactTest, AnOutageContainsNoAnswer, ()) {
   const auto times =
       *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 20000));
   store_contact contact;
--- a/tests/view_following_test.cc
+++ b/tests/view_following_test.cc
@@ -1,6 +1,5 @@
-// Who reads the store and who follows whom, on a virtual clock. What is told is
-// played by a few lines here: a report comes or doesn't, some milliseconds
-// later.
+// Selection of readers and sources in a fleet on a virtual clock. The transport
+// is simulated: a report arrives some milliseconds later or is lost.
 #include "include/forward/view_following.h"
 
 #include <gtest/gtest.h>
@@ -31,9 +30,9 @@
          std::to_string(index / 256 % 256) + "." + std::to_string(index % 256);
 }
 
-// A fleet beside a store that changes. Daemons send heartbeats at moments of
-// their own; a heartbeat tells followers what is known, as the daemon does, and
-// a change is told on at once.
+// A fleet with a store that changes. Each daemon sends heartbeats with its own
+// phase; like those of the real daemon they carry the revision to followers,
+// and a change is forwarded at once.
 class fleet {
  public:
   struct options {
@@ -52,8 +51,8 @@
     }
     for (std::size_t i = 0; i < of.daemons; ++i) {
       daemon next(view_following({.self = places[i]}));
-      // Only its own data centre's and a few of the others', which is what it
-      // looks at.
+      // Only daemons of its own data centre and a few of the others, since it
+      // uses no more.
       std::vector<daemon_location> known(
           places.begin(),
           places.begin() + static_cast<std::ptrdiff_t>(of.data_centres));
@@ -83,7 +82,7 @@
     bool store_fails = false;  // For this one.
   };
 
-  // Plays for so long; time goes on in steps of a report's way.
+  // Simulates a period of `time` in steps of a report's transit time.
   void Run(milliseconds time) {
     for (const time_point end = now_ + time; now_ < end;
          now_ += kReportTransit) {
@@ -103,7 +102,7 @@
     }
   }
 
-  // The store changes; waiting watches hear of it.
+  // The store changes, which wakes waiting watches.
   void Change() {
     ++store_;
     changed_ = now_;
@@ -115,8 +114,8 @@
     }
   }
 
-  // Of daemons that can be judged, the latest to know of the last change; a day
-  // if one doesn't.
+  // Maximum delay of the last change over daemons that are neither frozen nor
+  // cut off; one day if one of them has not received it.
   milliseconds MaxDelay() const {
     milliseconds max_delay{0};
     for (const daemon& each : daemons_) {
@@ -219,7 +218,7 @@
       }
     }
     for (const std::size_t source : sources) {
-      // Whoever is asked tells at once what it knows.
+      // A new source sends its revision at once.
       if (daemons_[source].followers.insert(index).second &&
           !daemons_[source].frozen) {
         reports_.push_back({.due = now_ + 2 * kReportTransit,
@@ -252,14 +251,15 @@
   std::mt19937_64 random_;
   std::map<std::string, std::size_t> index_;
   std::vector<daemon> daemons_;
-  std::deque<report> reports_;  // All take equally long, so they are in order.
+  std::deque<report>
+      reports_;  // In order, since all have the same transit time.
   std::uint64_t store_ = 1;
   time_point changed_ = kStart;
   time_point now_ = kStart;
   int calls_ = 0;
 };
 
-// Daemons that are told apart by what they do for others.
+// Indexes of the daemons that read the store.
 std::vector<std::size_t> ReadersOf(fleet& fleet) {
   std::vector<std::size_t> readers;
   for (std::size_t i = 0; i < fleet.daemons().size(); ++i) {
@@ -270,9 +270,9 @@
   return readers;
 }
 
-// A fleet in which each daemon watches the store makes a call of each for every
-// change, and 300 of them renew 100 watches a second. Calls are paid for, and
-// no store takes those of 14,000.
+// If every daemon watched the store, each change would cost one call per
+// daemon, and 300 daemons would renew 100 watches a second. Calls cost money,
+// and no store can serve those of 14,000 daemons.
 TEST(ViewFollowingTest, TwoOfEachDataCentreReadForAll) {
   for (const std::size_t daemons : {12U, 300U}) {
     fleet fleet({.daemons = daemons});
@@ -285,7 +285,7 @@
 }
 
 // 14,000 daemons in 22 data centres: a daemon has a bounded number of
-// followers, and what it says crosses few daemons.
+// followers, and its reports pass few daemons.
 TEST(ViewFollowingTest, ALargeFleetIsBoundedForEachDaemon) {
   fleet fleet({.daemons = 14000, .data_centres = 22});
   fleet.Run(milliseconds(800));
@@ -296,8 +296,8 @@
   EXPECT_LE(fleet.MaxDelay(), milliseconds(50));
 }
 
-// Both readers of a data centre are frozen, or cut off, at the moment of a
-// change, and nothing breaks a connection. Their followers would act on an old
+// Both readers of a data centre are frozen, or cut off, at the time of a
+// change, without a broken connection. Their followers would use the old
 // configuration for as long as that lasts.
 TEST(ViewFollowingTest, FrozenReadersAreReplacedInTime) {
   for (const bool frozen : {true, false}) {
@@ -313,7 +313,8 @@
   }
 }
 
-// One of the two readers of each data centre is frozen. Nobody notices.
+// One of the two readers of each data centre is frozen. Changes are not
+// delayed.
 TEST(ViewFollowingTest, OneFrozenReaderCostsNoTime) {
   fleet fleet({});
   fleet.Run(seconds(5));
@@ -329,9 +330,9 @@
   EXPECT_LE(fleet.MaxDelay(), milliseconds(50));
 }
 
-// The store turns all readers away and serves everybody else. They say so,
-// others read in their place, and the readers live on by what they hear.
-TEST(ViewFollowingTest, ReadersThatAreTurnedAwayFollowOthers) {
+// The store rejects all readers and serves all other daemons. The readers
+// report it, others read in their place, and the former readers follow them.
+TEST(ViewFollowingTest, RejectedReadersFollowOthers) {
   fleet fleet({});
   fleet.Run(seconds(5));
   for (const std::size_t reader : ReadersOf(fleet)) {
@@ -344,12 +345,9 @@
   EXPECT_LE(fleet.MaxDelay(), milliseconds(50));
 }
 
-// The store is away for everybody. If each daemon went on asking for it as
-// readers do, 300 daemons would make 750 calls a second, and as many would meet
-// the store when it comes back.
-// Guards against a whole data centre that the store turns away and that learns
-// nothing, although other data centres are in reach.
-TEST(ViewFollowingTest, ADataCentreThatIsTurnedAwayFollowsOtherOnes) {
+// The store rejects a whole data centre, which would receive no changes
+// although other data centres are reachable.
+TEST(ViewFollowingTest, ARejectedDataCentreFollowsOtherOnes) {
   fleet small({.daemons = 6, .data_centres = 3});
   small.Run(seconds(5));
   for (const std::size_t i : {0U, 3U}) {
@@ -364,7 +362,9 @@
   }
 }
 
-TEST(ViewFollowingTest, NobodyStormsAStoreThatIsAway) {
+// The store has an outage. If each daemon kept retrying as readers do, 300
+// daemons would make 750 calls a second, and as many when the store is back.
+TEST(ViewFollowingTest, AnOutageOfTheStoreCausesNoCallStorm) {
   fleet fleet({});
   fleet.Run(seconds(5));
   for (auto& each : fleet.daemons()) {
@@ -373,7 +373,7 @@
   }
   const int before = fleet.calls();
   fleet.Run(seconds(8));
-  // Ten ask eagerly, which makes 200 calls, and the others every 3 s.
+  // Ten daemons retry eagerly, which makes 200 calls, the others every 3 s.
   EXPECT_LE(fleet.calls() - before, 200 + 3 * 300);
   for (auto& each : fleet.daemons()) {
     each.store_fails = false;
@@ -386,8 +386,8 @@
 }
 
 // A tenth of all reports is lost, in a series of changes. A daemon that misses
-// one has the other source's, and the next heartbeat's.
-TEST(ViewFollowingTest, LostWordsAreMadeUpFor) {
+// one receives the other source's or the next heartbeat.
+TEST(ViewFollowingTest, LostReportsAreRecovered) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     fleet fleet({.loss = 0.1, .seed = seed});
     fleet.Run(seconds(5));
@@ -401,13 +401,13 @@
   }
 }
 
-// The two daemons in front are turned away by the store and hear all from the
-// two behind them, which read in their place. As long as the two in front
-// counted as readers for what they passed on, those behind them stopped
-// reading, and nobody read: changes were in force 2.5 s late (soak seed 9401;
-// lines: view_sources age_ms=2699 at all four, and store_reading how=none
+// The first two daemons in the order are rejected by the store and receive
+// changes from the next two, which read in their place. As long as reports that
+// the first two passed on made them count as readers, the next two stopped
+// reading, and no daemon read: changes were in force 2.5 s late (soak seed
+// 9401; log: view_sources age_ms=2699 at all four, and store_reading how=none
 // before).
-TEST(ViewFollowingTest, ADaemonThatPassesOnIsNoReader) {
+TEST(ViewFollowingTest, ADaemonThatForwardsIsNoReader) {
   fleet fleet({.daemons = 4, .data_centres = 1});
   fleet.Run(seconds(3));
   for (const std::size_t reader : ReadersOf(fleet)) {
@@ -422,8 +422,8 @@
   }
 }
 
-// Two daemons follow each other, and nobody reads. Each report is as old as
-// what it was made from, so that they notice.
+// Two daemons follow each other, and none reads the store. Each report keeps
+// the age of the confirmation that it is based on, so that they notice.
 TEST(ViewFollowingTest, ARingOfFollowersIsNotFresh) {
   const daemon_location a{.ip = "10.0.0.1", .data_centre = "a"};
   const daemon_location b{.ip = "10.0.0.2", .data_centre = "a"};
@@ -435,7 +435,7 @@
   one.OnReport(a.ip, milliseconds(0), true, now);
   for (int i = 0; i < 5; ++i) {
     now += kHeartbeat;
-    // What comes back is what this daemon said before.
+    // The reports that arrive are based on this daemon's own.
     const milliseconds age = one.Age(now);
     one.OnReport(a.ip, age, true, now);
     one.OnReport(b.ip, age, true, now);
@@ -445,9 +445,9 @@
   EXPECT_NE(one.Plan(now).reading, store_reading::kNone);
 }
 
-// What two daemons told each other on every answer kept views fresh that nobody
-// had confirmed for seconds.
-TEST(ViewFollowingTest, ConfirmationsThatAreToldToAndFroAge) {
+// Confirmations that two daemons exchanged on every answer kept views fresh
+// that no reader had confirmed for seconds.
+TEST(ViewFollowingTest, ConfirmationsThatAreExchangedAge) {
   const daemon_location reader{.ip = "10.0.0.1", .data_centre = "waw-a"};
   std::vector<daemon_location> places = {reader};
   std::vector<view_following> daemons;
@@ -461,7 +461,7 @@
     each.Plan(now);
     each.OnReport(reader.ip, milliseconds(0), true, now);
   }
-  // Nobody reads the store from now on; calls flow between the two.
+  // No daemon reads the store from now on; calls flow between the two.
   constexpr milliseconds kFrameTransit{2};
   const time_point end = now + milliseconds(1500);
   for (int i = 0; now < end; ++i) {
@@ -473,9 +473,9 @@
   EXPECT_FALSE(daemons[1].IsFresh(now));
 }
 
-// A daemon stood still for some seconds and wakes. Nobody has spoken to it
-// meanwhile, and that is nobody's fault.
-TEST(ViewFollowingTest, ADaemonThatStoodStillBlamesNobody) {
+// A daemon was stalled for some seconds. It has received no reports in that
+// time, but its sources are not at fault.
+TEST(ViewFollowingTest, AStalledDaemonExcludesNoSource) {
   std::vector<daemon_location> places;
   for (std::size_t i = 0; i < 40; ++i) {
     places.push_back({.ip = IpOf(i), .data_centre = "a"});
@@ -488,7 +488,7 @@
   EXPECT_EQ(after.reading, store_reading::kNone);
 }
 
-// The only two daemons that are known can rely on nobody else.
+// The only two known daemons have no other source.
 TEST(ViewFollowingTest, AFewDaemonsReadThemselves) {
   const daemon_location self{.ip = "10.0.0.1", .data_centre = "a"};
   view_following alone({.self = self});
--- a/tests/view_freshness_test.cc
+++ b/tests/view_freshness_test.cc
@@ -1,4 +1,4 @@
-// How new a view is proven to be, over several daemons.
+// Proven age of views across several daemons.
 #include "include/forward/view_freshness.h"
 
 #include <gtest/gtest.h>
@@ -15,22 +15,22 @@
   return boot_time(seconds(1000)) + milliseconds(ms);
 }
 
-TEST(ViewFreshnessTest, CountsFromTheQuestion) {
+TEST(ViewFreshnessTest, AgeCountsFromTheRequest) {
   view_freshness view;
   EXPECT_EQ(view.Age(At(0)), std::nullopt);
   view.SetRevision(7);
   view.Confirm({.revision = 7}, At(100));
   EXPECT_EQ(view.Age(At(1500)), milliseconds(1400));
-  // A neighbour's word that is older than the own proof changes nothing.
+  // Another daemon's proof that is older than the own one changes nothing.
   view.Confirm({.revision = 6, .age = milliseconds(900)}, At(500));
   EXPECT_EQ(view.Age(At(1500)), milliseconds(1400));
   view.Confirm({.revision = 7, .age = milliseconds(300)}, At(1400));
   EXPECT_EQ(view.Age(At(1500)), milliseconds(400));
 }
 
-// Guards against a daemon that takes a proof for changes that it hasn't got
-// yet, and goes on serving a key that was withdrawn by one of them.
-TEST(ViewFreshnessTest, AProofOfLaterChangesCountsOnceTheyAreHere) {
+// Guards against a daemon that accepts a proof of changes that it has not
+// received yet, and keeps accepting a key that one of them withdrew.
+TEST(ViewFreshnessTest, AProofOfLaterChangesCountsOnceTheyArrive) {
   view_freshness view;
   view.SetRevision(7);
   view.Confirm({.revision = 9}, At(100));
@@ -47,12 +47,12 @@
   EXPECT_EQ(view.Age(At(200)), std::nullopt);
 }
 
-// Daemons that ask the store and each other at random, with answers that are
-// held up at random: none ever believes its view to be newer than it is.
-// Guards against ages that are lost on the way, and daemons that confirm each
-// other in a ring.
-RC_GTEST_PROP(ViewFreshnessTest, NoDaemonEverFindsItsViewTooNew, ()) {
-  struct answer_on_its_way {
+// Daemons ask the store and each other at random, and answers are delayed at
+// random: no daemon ever computes an age below the true one. Guards against
+// ages that are lost in transit, and against daemons that confirm each other in
+// a cycle.
+RC_GTEST_PROP(ViewFreshnessTest, NoDaemonUnderestimatesTheAgeOfItsView, ()) {
+  struct pending_answer {
     std::size_t to = 0;
     freshness_proof proof;
     boot_time asked;
@@ -60,8 +60,8 @@
   constexpr std::size_t kDaemons = 4;
   std::vector<view_freshness> daemons(kDaemons);
   std::vector<std::uint64_t> held(kDaemons, 1);  // Revisions.
-  std::vector<boot_time> written{At(0)};         // When each was, from 1 on.
-  std::vector<answer_on_its_way> on_the_way;
+  std::vector<boot_time> written{At(0)};  // Times of revisions from 1 on.
+  std::vector<pending_answer> pending;
   int now = 1;
   for (int step = 0; step < 120; ++step) {
     now += *rc::gen::inRange(0, 300);
@@ -71,16 +71,16 @@
         written.push_back(At(now));
         break;
       case 1:
-        on_the_way.push_back({.to = who,
-                              .proof = {.revision = written.size()},
-                              .asked = At(now)});
+        pending.push_back({.to = who,
+                           .proof = {.revision = written.size()},
+                           .asked = At(now)});
         break;
       case 2: {
         const auto other = *rc::gen::inRange<std::size_t>(0, kDaemons);
         if (const auto age = daemons[other].Age(At(now))) {
-          on_the_way.push_back({.to = who,
-                                .proof = {.revision = held[other], .age = *age},
-                                .asked = At(now - *rc::gen::inRange(0, 50))});
+          pending.push_back({.to = who,
+                             .proof = {.revision = held[other], .age = *age},
+                             .asked = At(now - *rc::gen::inRange(0, 50))});
         }
         break;
       }
@@ -90,10 +90,9 @@
         daemons[who].SetRevision(held[who]);
         break;
       default:
-        if (!on_the_way.empty()) {
-          const auto which =
-              *rc::gen::inRange<std::size_t>(0, on_the_way.size());
-          const answer_on_its_way& arrived = on_the_way[which];
+        if (!pending.empty()) {
+          const auto which = *rc::gen::inRange<std::size_t>(0, pending.size());
+          const pending_answer& arrived = pending[which];
           daemons[arrived.to].Confirm(arrived.proof, arrived.asked);
         }
     }
@@ -101,7 +100,7 @@
       const auto age = daemons[i].Age(At(now));
       const bool misses_one = held[i] < written.size();
       if (age && misses_one) {
-        // The first change that it lacks was written after the proven moment.
+        // The first change that it lacks was written after the proven time.
         RC_ASSERT(At(now) - *age <= written[held[i]]);
       }
     }
--- a/tests/watch_pace_test.cc
+++ b/tests/watch_pace_test.cc
@@ -21,11 +21,11 @@
 };
 
 struct asked {
-  double calls_per_second = 0;    // Of all daemons.
+  double calls_per_second = 0;    // Of all daemons together.
   milliseconds latest_change{0};  // From a change until it is known.
 };
 
-// One daemon stands for all: they hear of the same changes.
+// Simulates one daemon for all of them, since all receive the same changes.
 asked Play(const series& of) {
   const milliseconds pause =
       WatchPause({.store_calls_per_second = of.store_calls_per_second,
@@ -51,10 +51,11 @@
 }
 
 // All targets of a deployment are started or replaced, and each changes its
-// entry a few times. Every daemon asks again right after every answer, and the
-// store, which takes so many calls a second of all, turns daemons away: some
-// then send requests to targets that have left. Without a pause 71 daemons make
-// 1,800 calls a second in this series, 300 make 7,500 of 6,000 that are taken.
+// entry a few times. If every daemon asked again right after every answer, the
+// store, which accepts a limited number of calls per second, would reject some
+// of them, and those daemons would send requests to targets that have left.
+// Without a pause 71 daemons make 1,800 calls a second in this series, and 300
+// daemons 7,500, of 6,000 that are accepted.
 TEST(WatchPaceTest, ASeriesOfChangesCostsFewCalls) {
   for (const std::size_t daemons : {12U, 71U, 300U}) {
     const asked result = Play({.daemons = daemons,
@@ -74,8 +75,8 @@
   EXPECT_EQ(result.latest_change, kAnswerTime);
 }
 
-// Idle watches of 62 daemons, renewed every 1.5 s each, cost 41 calls a second
-// for nothing; at 14,000 daemons more than any store takes.
+// Idle watches of 62 daemons, renewed every 1.5 s each, cost 41 redundant calls
+// a second; those of 14,000 daemons would exceed what any store can serve.
 TEST(WatchPaceTest, IdleDaemonsRenewTheirWatchesTogether) {
   for (const std::size_t daemons : {59U, 62U, 71U}) {
     const double calls =
@@ -87,16 +88,17 @@
   EXPECT_EQ(WatchWait(kAll, 14000, 0), kMaxWatchWait);
 }
 
-// A change wakes all daemons at one moment. If their next watches ended at one
-// moment too, nobody would find out about a silent store in between.
+// A change wakes all daemons at the same time. If their next watches also ended
+// at the same time, no daemon would detect a silent store in between.
 TEST(WatchPaceTest, RenewalsAreSpread) {
   EXPECT_LT(WatchWait(kAll, 62, 1023), WatchWait(kAll, 62, 0) * 2 / 3);
   EXPECT_GE(WatchWait(kAll, 62, 1023), kMinWatchWait);
 }
 
 // Two daemons of a data centre read for all of it and are woken by the same
-// change. Whatever the fleet's size, what they learn is in force within half of
-// the two seconds that a change may take, and they don't ask at one moment.
+// change. Regardless of the fleet's size, changes are in force within half of
+// the two seconds that are allowed, and the two readers don't ask at the same
+// time.
 TEST(WatchPaceTest, ReadersPauseForDifferentTimes) {
   const watch_pace_options few{.store_calls_per_second = 16000};
   for (const std::size_t daemons : {2U, 25U, 14000U}) {
