--- a/src/forward/forward_pages.cc
+++ b/src/forward/forward_pages.cc
@@ -105,14 +105,14 @@
 void AddQuotas(const quota_page& quotas, std::vector<MetricFamily>* families) {
   Add("quota_daemons_in_touch", "Daemons that share quotas with this one",
       MetricType::Gauge, quotas.in_touch, families);
-  std::vector<quota_page_entry> most = quotas.refused;
-  std::ranges::sort(most, std::greater<>(), &quota_page_entry::refused);
-  most.resize(std::min(most.size(), kMaxOrganisations));
+  std::vector<quota_page_entry> top = quotas.refused;
+  std::ranges::sort(top, std::greater<>(), &quota_page_entry::refused);
+  top.resize(std::min(top.size(), kMaxOrganisations));
   MetricFamily family;
   family.name = "pistachioweir_forward_quota_requests";
   family.help = "Requests of organisations with refusals, by verdict";
   family.type = MetricType::Counter;
-  for (const quota_page_entry& each : most) {
+  for (const quota_page_entry& each : top) {
     for (const bool refused : {false, true}) {
       ClientMetric metric;
       metric.label = {
--- a/src/forward/view_following.cc
+++ b/src/forward/view_following.cc
@@ -55,9 +55,9 @@
     return;
   }
   if (same) {
-    // The age doesn't include the transit of the report itself. Without it,
-    // confirmations that two daemons exchange on every frame would not age and
-    // would keep both views fresh.
+    // The age doesn't include the transit of the report itself. Unless it is
+    // added, confirmations that two daemons exchange on every frame would not
+    // age and would keep both views fresh.
     const milliseconds delay =
         age > milliseconds(0) ? kReportDelay : milliseconds(0);
     confirmed_ = std::max(confirmed_, now - age - delay);
@@ -167,9 +167,9 @@
 
 void view_following::AddRemote(std::vector<std::string>* sources,
                                time_point now) const {
-  const std::size_t most = sources->size() + options_.readers;
+  const std::size_t limit = sources->size() + options_.readers;
   for (const std::string& ip : remote_) {
-    if (sources->size() < most && !IsExcluded(ip, now)) {
+    if (sources->size() < limit && !IsExcluded(ip, now)) {
       sources->push_back(ip);
     }
   }
@@ -203,8 +203,8 @@
 // the first in the order are, which other daemons choose first: during an
 // outage of the store all sources are excluded one after the other.
 void view_following::AddExcluded(std::vector<std::string>* sources) const {
-  const std::size_t most = std::min(local_.size(), 2 * options_.readers);
-  for (std::size_t i = 0; i < most; ++i) {
+  const std::size_t count = std::min(local_.size(), 2 * options_.readers);
+  for (std::size_t i = 0; i < count; ++i) {
     const auto known = sources_.find(local_[i]);
     if (known != sources_.end() && known->second.excluded_since &&
         !Contains(*sources, local_[i])) {
--- a/src/forward/view_sharing.cc
+++ b/src/forward/view_sharing.cc
@@ -243,7 +243,7 @@
   if (taken) {
     CountAge(changes.read_ago);
   }
-  // Two sources send every change twice.
+  // With two sources every change arrives twice.
   if (verdict == changes_verdict::kNotNewer) {
     return;
   }
--- a/src/forward/view_sharing.h
+++ b/src/forward/view_sharing.h
@@ -84,7 +84,7 @@
   void OnReport(const std::string& ip, const neighbour_report& report);
   // The daemon at `ip` can't be reached, or is stopping.
   void OnLost(const std::string& ip);
-  void OnChanges(const view_changes& told);
+  void OnChanges(const view_changes& changes);
   // Another daemon answered a request sent at `asked` with the freshness of its
   // view.
   void OnProof(const freshness_proof& proof, boot_time asked);
--- a/tests/leaving_target_test.cc
+++ b/tests/leaving_target_test.cc
@@ -64,10 +64,10 @@
     builder.NoteAnswer(kStart + i * milliseconds(1500));
   }
   const time_point left = kStart + milliseconds(7600);
-  const time_point told = left + milliseconds(10);
-  builder.NoteReturn(left - milliseconds(5), "10.0.0.7", told);
-  builder.Apply(Removed("10.0.0.7"), told);
-  EXPECT_FALSE(Uses(builder, told));
+  const time_point received = left + milliseconds(10);
+  builder.NoteReturn(left - milliseconds(5), "10.0.0.7", received);
+  builder.Apply(Removed("10.0.0.7"), received);
+  EXPECT_FALSE(Uses(builder, received));
 }
 
 // A daemon whose own link to the store had failed kept targets that had left in
--- a/tests/view_following_test.cc
+++ b/tests/view_following_test.cc
@@ -22,7 +22,7 @@
 const time_point kStart{seconds(1000)};
 constexpr milliseconds kHeartbeat{250};
 constexpr milliseconds kReportTransit{2};
-// Within half of the two seconds that a change may take.
+// Half of the two seconds that a change may take.
 constexpr milliseconds kChangeLimit{1000};
 
 std::string IpOf(std::size_t index) {
@@ -139,11 +139,11 @@
   }
 
   std::size_t MaxFollowers() const {
-    std::size_t most = 0;
+    std::size_t max_followers = 0;
     for (const daemon& each : daemons_) {
-      most = std::max(most, each.followers.size());
+      max_followers = std::max(max_followers, each.followers.size());
     }
-    return most;
+    return max_followers;
   }
 
   std::vector<daemon>& daemons() { return daemons_; }
@@ -251,8 +251,8 @@
   std::mt19937_64 random_;
   std::map<std::string, std::size_t> index_;
   std::vector<daemon> daemons_;
-  std::deque<report>
-      reports_;  // In order, since all have the same transit time.
+  // In order, since all have the same transit time.
+  std::deque<report> reports_;
   std::uint64_t store_ = 1;
   time_point changed_ = kStart;
   time_point now_ = kStart;
