--- a/src/forward/forward_daemon.h
+++ b/src/forward/forward_daemon.h
@@ -1,5 +1,5 @@
-// forward_daemon: a daemon between the protocols of one platform: its callers'
-// and its targets', and its store of what is in force.
+// forward_daemon: a daemon for one platform, composed of the platform's
+// protocols of callers and targets and the store of its configuration.
 #pragma once
 
 #include <algorithm>
@@ -47,8 +47,8 @@
 
 namespace pistachioweir {
 
-// Where views come from. Calls the sink on the context's thread, first as soon
-// as a configuration is known, then at each change.
+// Source of views. Calls the sink on the context's thread, first when a
+// configuration is known, then at each change.
 template <typename Source>
 concept view_source = std::constructible_from<
     Source,
@@ -58,14 +58,14 @@
     requires(Source source) {
   source.Start();
   source.Stop();
-  // Called when more is known than before, with the daemon that told it.
+  // Called on newer data, with the daemon that sent it.
   source.OnNews(std::function<void(const std::string&)>());
   source.SetReading(store_reading::kNone);
   // Another daemon has read this revision.
   source.NoteRevision(std::uint64_t{});
   // The store answered another daemon.
   source.NoteStoreAnswer(time_point());
-  // A target isn't the one that the view has at its address.
+  // The target at an address isn't the one that the view lists there.
   source.NoteStaleTarget();
   { source.Apply(view_changes{}) } -> std::same_as<told_changes_verdict>;
   {
@@ -81,8 +81,8 @@
     target_protocol<typename Platform::targets> &&
     view_source<typename Platform::views>;
 
-// Owns all parts. They share one thread: a VM gives the daemon less than one
-// processor, and threads that take turns on it would only add hand-overs.
+// Owns all components. They share one thread: a VM gives the daemon less than
+// one processor, so more threads would only add context switches.
 template <forward_platform Platform>
 class forward_daemon {
  public:
@@ -199,12 +199,12 @@
  private:
   using error_code = boost::system::error_code;
 
-  // Heads of answers; as much as servers commonly send.
+  // Limit of a response's head; the maximum that servers commonly send.
   static constexpr std::size_t kMaxResponseHead = 64 << 10;
-  // A quarter of the memory may be held for bodies of requests.
+  // Up to a quarter of the memory may hold request bodies.
   static constexpr double kHeldBytesPerMb = 256.0 * 1024;
   static constexpr milliseconds kTickInterval{1000};
-  // Log lines are written this long after the first, many at a time.
+  // Log lines are batched: flushed this long after the first.
   static constexpr milliseconds kFlushDelay{50};
   static constexpr milliseconds kStopPollInterval{25};
   origin_options OriginOptions(const forward_settings& settings) {
@@ -249,7 +249,7 @@
             }};
   }
 
-  // A request that is let in still takes a while until its target begins it.
+  // Leaves time between the admission of a request and its start at the target.
   static milliseconds MaxKeyAge(const forward_settings& settings) {
     constexpr double kAdmissionShare = 0.8;
     return std::chrono::duration_cast<milliseconds>(settings.key_withdrawal *
@@ -290,11 +290,11 @@
         .heartbeat = [this] { peers_.Heartbeat(); }};
   }
 
-  // Of the ratio that the operator allows for repeats, what one service's
-  // callers use themselves. A repeat of a request that calls other services
-  // repeats those calls too, and they count there: with as many calls a request
-  // as the called service gets of it, each level adds its own part. Two levels
-  // and a reserve for daemons that restart and forget what they spent.
+  // Share of the operator's repeat ratio for the callers of one service. A
+  // repeated request repeats its downstream calls, which count at the called
+  // services: with as many calls per request as the called service receives for
+  // it, each level adds its own share. Covers two levels, and a reserve for
+  // daemons that lose their counts at a restart.
   static constexpr double kRatioShare = 0.4;
 
   http_server_options ReadyOptions() {
@@ -358,7 +358,7 @@
     if (view->config != nullptr) {
       callers_.SetLimits(view->config->limits);
     }
-    std::optional<std::string> own;  // Empty if it is leaving.
+    std::optional<std::string> own;  // Empty if the target is leaving.
     for (const target_entry& target : view->targets) {
       if (target.address == settings_.target) {
         executor_.SetSlots(target.slots);
@@ -442,8 +442,8 @@
     });
   }
 
-  // First what is at the target beside, so that its callers here hear which of
-  // it has not run.
+  // Ends the local target's runs first, so that local callers learn which of
+  // them were not executed.
   void EndOpenCalls() {
     if (!std::exchange(ending_, true)) {
       callers_.RefuseNew();
@@ -476,8 +476,7 @@
           .value = std::to_string(executor_.counters().ended_by_stop)}});
   }
 
-  // Whatever still comes is refused: it would be cut off when the process ends,
-  // a moment later.
+  // Refuses further requests, which the imminent exit would interrupt.
   void Stop() {
     LogEnding();
     executor_.Drain();
@@ -487,12 +486,13 @@
     sharing_.Stop();
     quotas_.Stop();
     suspects_.Stop();
-    // Answers that were handed to the kernel go out; give the last ones a turn.
+    // The kernel sends the answers already handed to it; this delay lets the
+    // last ones reach it.
     stop_.expires_after(kStopPollInterval);
     stop_.async_wait([this](error_code) { stopped_.set_value(); });
   }
 
-  // Each daemon once, over whichever way it is connected.
+  // Sends to each daemon once, over its link or its session.
   void SendSuspects(const suspects_frame& suspects, std::size_t max_count) {
     std::set<incarnation_id> connected = origin_.linked();
     connected.merge(peers_.senders());
@@ -540,7 +540,7 @@
     });
   }
 
-  // On any thread.
+  // Called on any thread.
   void ArmFlush() {
     boost::asio::post(context_, [this] {
       flush_.expires_after(kFlushDelay);
@@ -571,13 +571,13 @@
   boost::asio::signal_set signals_;
   boost::asio::steady_timer tick_;
   time_point next_tick_ = time_point::max();  // When `tick_` expires.
-  duration lag_{0};                           // Of the last tick, behind that.
+  duration lag_{0};                           // Delay of the last tick.
   boost::asio::steady_timer flush_;
   boost::asio::steady_timer stop_;
   stop_plan stop_plan_;
-  bool closing_ = false;   // Stopping, and close to the end.
-  bool refusing_ = false;  // And too close for another request.
-  bool ending_ = false;    // What is still in progress gets its answer.
+  bool closing_ = false;   // Refuses new connections.
+  bool refusing_ = false;  // Refuses new requests.
+  bool ending_ = false;    // Is answering open requests.
   bool ready_ = false;
   std::promise<void> stopped_;
   http_server ready_server_;
--- a/src/forward/origin.cc
+++ b/src/forward/origin.cc
@@ -1,4 +1,4 @@
-// Routing, placing, sending and retrying of callers' requests.
+// Routing, placement, sending and retries of callers' requests.
 #include "src/forward/origin.h"
 
 #include <utility>
@@ -19,9 +19,9 @@
 namespace pistachioweir {
 namespace {
 
-// A caller that doesn't say how long it waits, on a route without a timeout.
+// Used if neither the caller nor the route sets a timeout.
 constexpr milliseconds kDefaultTimeout{30000};
-// When to come back if nothing tells better.
+// Retry-after if the refusal carries none.
 constexpr milliseconds kDefaultRetryAfter{200};
 
 std::string Text(std::uint64_t number) {
@@ -44,7 +44,7 @@
                                                : call_result::kFailed;
 }
 
-// No daemon could be reached, or the one that was has no target beside it.
+// The daemon was unreachable, or has no local target.
 bool IsTargetAbsent(const peer_answer& answer) {
   return answer.answer.kind == outcome_kind::kNotExecuted &&
          !answer.answer.reached_target &&
@@ -84,7 +84,7 @@
   return true;
 }
 
-// The shorter of what the caller and the route say.
+// The shorter of the caller's and the route's timeouts.
 milliseconds origin::TimeoutOf(const placed_call& call) const {
   milliseconds timeout = call.call.caller_timeout;
   const milliseconds max_timeout = call.matched->timeout;
@@ -173,7 +173,7 @@
                               std::min(call.deadline, answer_by_) - now, now);
 }
 
-// A key may have been withdrawn while its request waited.
+// Checks the key again: it may have been withdrawn while the request waited.
 void origin::Retry(call_id id) {
   if (Authenticate(id)) {
     PlaceAndSend(id);
@@ -211,7 +211,7 @@
   call->placing.tried.refs[call->placing.tried.count++] = placed.target;
   const target_entry* const target = FindTarget(call->target_id);
   if (target == nullptr) {
-    // The list that the balancer has is the view's, so this can't be.
+    // Not expected: the balancer's targets are those of the view.
     LogWarning("target_unknown", {{.name = "id", .value = call->target_id}});
     call->why = reason::kNoTarget;
     FinishWithoutAnswer(id);
@@ -222,7 +222,7 @@
 
 milliseconds origin::StartWithin(const placed_call& call,
                                  time_point now) const {
-  constexpr milliseconds kMinimum{1};  // Zero would bound nothing.
+  constexpr milliseconds kMinimum{1};  // Zero means no bound.
   std::optional<milliseconds> within;
   if (!call.organisation.empty() && options_.max_key_age > milliseconds(0)) {
     const auto age = options_.proven_age();
@@ -275,7 +275,7 @@
     call->number = 0;
     const std::uint64_t number = local_.Serve(
         std::move(frame), [this, id, generation](answer_frame answer) {
-          // Later: the executor may answer before Serve() returns.
+          // Posted, since the executor may answer before Serve() returns.
           boost::asio::post(context_, [this, id, generation,
                                        answer = std::move(answer)]() mutable {
             OnAnswer(id, generation,
@@ -313,7 +313,7 @@
     StateOf(call.service).targets.SetStopping(call.target, true);
   }
   if (answer.answer.why == reason::kWrongTarget) {
-    // The target that was meant has ended; the list will say so in a while.
+    // The intended target has ended; the list of targets will follow later.
     StateOf(call.service).targets.MarkLeaving(call.target);
     if (options_.on_stale_target) {
       options_.on_stale_target();
@@ -409,16 +409,16 @@
   call.placing.tried = {};
   call.retry_timer.expires_after(delay);
   call.retry_timer.async_wait([this, id](boost::system::error_code error) {
-    // The caller may have left just as the pause ended.
+    // The call may have ended after the timer expired.
     if (!error && calls_.contains(id)) {
       Retry(id);
     }
   });
 }
 
-// Another target is asked for a request that has not run, and for one that may
-// run again if it failed. Sends that reach targets are paid from the budget:
-// the second send of a request is load that its caller didn't bring.
+// A request is retried on another target if it has not run, or if it failed and
+// may run again. Retries after a send that reached a target are charged to the
+// retry budget, since they add load beyond the callers' own.
 bool origin::MayRetry(placed_call& call,
                       const answer_frame& answer,
                       time_point now) {
@@ -508,7 +508,7 @@
   Finish(id, Failure(*calls_.at(id)));
 }
 
-// Not executed only if that holds for each send.
+// Reports not executed only if no send may have run.
 relayed_result origin::Failure(const placed_call& call) const {
   if (call.has_failure) {
     return {.kind = outcome_kind::kCompleted, .response = call.failure};
--- a/src/forward/origin.h
+++ b/src/forward/origin.h
@@ -1,5 +1,6 @@
-// origin: the daemon beside a caller. Finds the service and the target of each
-// request, sends it there, and tries again where that is allowed and can help.
+// origin: the calling side of a daemon. Routes each request to a service,
+// places it on a target, sends it there, and retries where the route's policy
+// and the deadline allow.
 #pragma once
 
 #include <cstddef>
@@ -38,47 +39,50 @@
 class call_log;
 class executor;
 
-// When to come back where the daemon is stopping: others are there already.
+// Retry-after of a stopping daemon: short, since other daemons can serve the
+// caller at once.
 inline constexpr milliseconds kDrainingRetryAfter{100};
 
 struct origin_options {
   vm_id vm;
-  std::string service;  // Of the target beside this daemon.
+  std::string service;  // Service of the local target.
   std::string data_centre;
   endpoint own_target;
-  std::uint16_t peer_port = 0;  // Where all daemons listen for each other.
+  std::uint16_t peer_port = 0;  // Port on which all daemons accept peers.
   incarnation_id self{};
-  // Of all daemons together, for each called service and window.
+  // Limits for all daemons together, for each called service and window.
   double repeat_ratio = 0.1;
   double repeat_reserve = 10;
   milliseconds repeat_window{10000};
   std::function<suspects_frame(const suspects_frame&)> on_suspects;
-  // The daemon at `ip` told how new its view is.
+  // The daemon at `ip` reported the state of its view.
   std::function<void(const std::string& ip, const neighbour_report& report)>
       on_report;
-  // It can't be reached, or is stopping.
+  // The daemon at `ip` is unreachable or is stopping.
   std::function<void(const std::string& ip)> on_peer_lost;
-  // How long ago the configuration is proven to have been the newest one;
-  // nothing if that was never proven.
+  // Time since the configuration was last proven to be the newest one; nullopt
+  // if it never was.
   std::function<std::optional<milliseconds>()> proven_age;
-  // Oldest configuration that API keys may be judged by; zero if any may.
+  // Maximum proven age of a configuration for checking API keys; zero means
+  // unlimited.
   milliseconds max_key_age{0};
-  // A target turned out to be another one than the view has at its address.
+  // The target at an address isn't the one that the view lists there.
   std::function<void()> on_stale_target;
-  // The newest change of the platform's store that is known of.
+  // Newest known revision of the platform's store.
   std::function<std::uint64_t()> revision;
-  // What changed behind `revision` as a frame, if anything did.
+  // Encoded frame of the changes after `revision`; nullptr if there are none.
   std::function<std::shared_ptr<const std::string>(std::uint64_t revision)>
       changes_since;
-  // Another daemon told what has changed.
+  // Another daemon sent changes of the store.
   std::function<void(const view_changes&)> on_changes;
-  // Another daemon proved how new its view is; it was asked at `asked`.
+  // Another daemon answered a request for a freshness proof sent at `asked`.
   std::function<void(const freshness_proof&, boot_time asked)> on_proof;
-  // Whether one more request of the organisation is let in; all are if empty.
+  // Admits or refuses a request by the organisation's quota. If empty, all are
+  // admitted.
   std::function<quota_decision(organisation_id)> admit;
-  // One that was let in has not run.
+  // An admitted request was not executed.
   std::function<void(organisation_id)> refund_quota;
-  // The daemon at `ip` answered a report of use.
+  // The daemon at `ip` answered a usage report.
   std::function<void(const std::string& ip, const quota_frame&)> on_quota;
 };
 
@@ -86,20 +90,20 @@
   std::uint64_t completed = 0;
   std::uint64_t not_executed = 0;
   std::uint64_t unknown = 0;
-  std::uint64_t abandoned = 0;  // By their callers.
+  std::uint64_t abandoned = 0;  // The caller disconnected.
   std::uint64_t sent_again = 0;
-  std::uint64_t ended_by_stop = 0;  // While their targets had not answered.
-  // Among those not executed.
+  std::uint64_t ended_by_stop = 0;  // Open when the daemon stopped.
+  // Included in `not_executed`.
   std::uint64_t unauthenticated = 0;
   std::uint64_t keys_unconfirmed = 0;
   std::uint64_t over_quota = 0;
 };
 
-// Used on its context's thread only. Owns what is known of targets, the links
-// to their daemons, and every call until it is answered.
+// Used on its context's thread only. Owns the state of targets, the links to
+// their daemons, and each call until it is answered.
 class origin {
  public:
-  // Names a call in progress.
+  // Identifies a call in progress.
   using call_id = std::uint64_t;
 
   origin(boost::asio::io_context& context,
@@ -110,60 +114,60 @@
 
   void SetView(std::shared_ptr<const service_view> view);
 
-  // Serves the request; `done` is called once, now or later, unless the call is
-  // abandoned before.
+  // Starts a call. `done` runs exactly once, possibly before Submit() returns,
+  // unless the call is abandoned first.
   call_id Submit(relayed_call call, relayed_callback done);
-  // The caller has gone.
+  // Cancels a call whose caller disconnected.
   void Abandon(call_id id);
 
-  // Sends a frame of suspects to those of `to` that are linked, and takes out
-  // those whose links are well.
+  // Sends a frame of suspects to the linked daemons in `to`, and removes those
+  // with healthy links from `to`.
   void SendSuspects(const std::shared_ptr<const std::string>& frame,
                     std::set<incarnation_id>* to);
-  // Connects to some daemons that are not linked, which are so told of all
-  // suspects that are known.
+  // Connects to some daemons without a link; each link sends all known suspects
+  // when it is established.
   void PushSuspectsToUnlinked();
-  // The daemons at these IP numbers, and no others, tell from now on what
-  // changes in the store.
+  // Subscribes to store changes from the daemons at these IP addresses, and
+  // unsubscribes from all others.
   void Follow(const std::vector<std::string>& ips);
-  // Asks the daemon at `ip` for it once.
+  // Requests store changes from the daemon at `ip` once.
   void AskChanges(const std::string& ip);
-  // Tells the daemon at `ip` what was used of quotas.
+  // Reports quota usage to the daemon at `ip`.
   void SendUsage(const std::string& ip, const usage_frame& usage);
-  // Asks the daemons at these IP numbers how new their views are, and up to
-  // `others` more that are connected, different ones each time.
+  // Requests freshness proofs from the daemons at these IP addresses and from
+  // up to `additional` linked daemons, chosen round-robin.
   void AskProofs(const std::vector<std::string>& ips, std::size_t additional);
-  // Once a second.
+  // Called once a second.
   void Tick(time_point now);
-  // The daemon stops. Calls are sent only where they are expected to end by
-  // `answer_by`; EndOpenCalls() is called then.
+  // Called when the daemon begins to stop: only calls expected to finish by
+  // `answer_by` are sent. The owner calls EndOpenCalls() at that time.
   void SetAnswerBy(time_point answer_by) { answer_by_ = answer_by; }
-  // Answers all calls in progress: not executed if nothing of them has left,
-  // else unknown. Their lines tell what each waited for.
+  // Answers all calls in progress: not executed if no part was sent, else
+  // unknown. Logs what each was waiting for.
   void EndOpenCalls();
-  // Most that a request needed lately, in queues and at targets. What the way
-  // to another daemon took says nothing about the next request's.
+  // Recent maximum of a request's time in queues and at targets. Excludes
+  // network time, which does not predict that of the next request.
   [[nodiscard]] duration MaxRequestTime(time_point now) {
     return max_request_time_.Get(now).value_or(duration(0));
   }
 
   [[nodiscard]] std::size_t in_progress() const { return calls_.size(); }
-  // Daemons that are linked.
+  // Incarnations of the connected daemons.
   [[nodiscard]] std::set<incarnation_id> linked() const;
-  // Of all links to other daemons.
+  // Sum over all links to other daemons.
   [[nodiscard]] stream_load link_load() const;
   [[nodiscard]] const origin_counters& counters() const { return counters_; }
   [[nodiscard]] const std::shared_ptr<const service_view>& view() const {
     return view_;
   }
-  // Without targets that stay in use though the store has lost them; nullptr
-  // before the first view.
+  // The view as the store lists it, without retained targets that the store has
+  // lost; nullptr before the first view.
   [[nodiscard]] const std::shared_ptr<const service_view>& listed() const {
     return listed_;
   }
 
  private:
-  // What is known of one called service.
+  // State of one called service.
   struct service_state {
     service_state(const balancer_options& placing,
                   const repeat_budget_options& repeating)
@@ -181,33 +185,32 @@
     std::shared_ptr<const service_view> view;  // Keeps `matched` valid.
     const route* matched = nullptr;
     std::string service;
-    std::string organisation;  // Whose key the caller gave; may be empty.
-    std::optional<organisation_id> holder;   // Likewise.
-    std::optional<organisation_id> charged;  // Whose quota it was counted for.
-    std::uint32_t rank = 0;                  // By organisation and route.
-    bool ahead = false;  // Other organisations are to give way to it.
+    std::string organisation;  // Holder of the API key; may be empty.
+    std::optional<organisation_id> holder;   // Its id.
+    std::optional<organisation_id> charged;  // Charged for the call.
+    std::uint32_t rank = 0;  // Priority by organisation and route.
+    bool ahead = false;      // Precedes calls of other organisations.
     time_point deadline;
     placement_request placing;
-    boost::asio::steady_timer deadline_timer;  // Of the deadline.
-    boost::asio::steady_timer
-        retry_timer;  // Until the next search for a target.
-    // The send in progress, if there is one.
+    boost::asio::steady_timer deadline_timer;
+    boost::asio::steady_timer retry_timer;  // Delay of the next placement.
+    // State of the current send.
     target_ref target;
     std::string target_id;
-    std::shared_ptr<peer_link> link;  // nullptr for the own target.
-    std::uint64_t number = 0;         // At the link or the executor.
+    std::shared_ptr<peer_link> link;  // nullptr for the local target.
+    std::uint64_t number = 0;         // Assigned by `link` or the executor.
     time_point sent_at;
     bool sending = false;
-    std::uint32_t generation = 0;  // Of sends; late answers have an old one.
+    std::uint32_t generation = 0;  // Of sends; a late answer has an older one.
 
-    // In queues and at targets, by answers that were heard.
+    // Time in queues and at targets, from received answers.
     duration processing_time{0};
     std::uint32_t targets_reached = 0;  // Sends that reached a target.
     bool may_have_run = false;
-    bool from_own_target = false;  // Made by the target beside this daemon.
-    bool has_failure = false;      // `failure` is a target's own answer.
+    bool from_own_target = false;  // Downstream call of the local target.
+    bool has_failure = false;      // `failure` holds a target's response.
     relayed_response failure;
-    reason why = reason::kNone;  // Of the last send that gave no answer.
+    reason why = reason::kNone;  // Of the last send without an answer.
     milliseconds retry_after{0};
 
     explicit placed_call(boost::asio::io_context& context)
@@ -217,23 +220,24 @@
   using call_ptr = std::shared_ptr<placed_call>;
 
   [[nodiscard]] bool FindRoute(placed_call& call, reason* why) const;
-  // Who holds the caller's key, by the view in use.
+  // Checks the caller's API key against the current view.
   [[nodiscard]] key_answer CheckKeyOf(const placed_call& call) const;
-  // Names the organisation, or ends the call. False if it has ended.
+  // Sets the call's organisation, or ends the call and returns false.
   bool Authenticate(call_id id);
   void CountRefusal(reason why);
-  // Counts the call for its organisation's quota, or ends it. False if it has
-  // ended.
+  // Charges the call to its organisation's quota, or ends the call and returns
+  // false.
   bool ChargeQuota(call_id id);
   void StartTimer(call_id id);
   [[nodiscard]] milliseconds TimeoutOf(const placed_call& call) const;
   [[nodiscard]] bool CannotMeetDeadline(const placed_call& call,
                                         time_point now);
-  // Bounds when the target has to begin; zero if only the deadline does.
+  // Time within which the target has to begin; zero if only the deadline bounds
+  // it.
   [[nodiscard]] milliseconds StartWithin(const placed_call& call,
                                          time_point now) const;
   void LogEndedByStop(call_id id, const placed_call& call, time_point now);
-  // A search for a target behind the first.
+  // Authenticates again, then places and sends the call again.
   void Retry(call_id id);
   void PlaceAndSend(call_id id);
   void Send(call_id id, const target_entry& target);
@@ -248,14 +252,15 @@
                               const answer_frame& answer,
                               time_point now);
   void OnTimeout(call_id id);
-  // Refuses the call, or has it look for a target again in a moment.
+  // Ends the call, or schedules another placement.
   void FinishOrRetryLater(call_id id);
   void RetryLater(call_id id, milliseconds delay);
   void Finish(call_id id, relayed_result result);
   void FinishWithoutAnswer(call_id id);
-  // A send has no answer by now. Its target is slow if the way there is well.
+  // Records the wait of an unanswered send as processing time if the link is
+  // healthy: then the target is slow.
   static void RecordWait(placed_call& call, time_point now);
-  // True if nothing of the send had left this daemon.
+  // Returns true if no part of the send had left this daemon.
   bool CancelSend(placed_call& call);
   [[nodiscard]] relayed_result Failure(const placed_call& call) const;
 
@@ -279,23 +284,24 @@
   executor& local_;
   call_log& log_;
 
-  std::shared_ptr<const service_view> listed_;  // As the store has it.
+  std::shared_ptr<const service_view> listed_;  // As the store lists it.
   lapsed_targets lapsed_;
-  // What is in use: `listed_`, and targets that it has lost though they live.
+  // View in use: `listed_` and `kept_`, the live targets that the store has
+  // lost.
   std::shared_ptr<const service_view> view_;
-  std::vector<target_entry> kept_;                              // Those.
-  std::unordered_map<std::string, std::size_t> targets_by_id_;  // In view_.
+  std::vector<target_entry> kept_;
+  std::unordered_map<std::string, std::size_t> targets_by_id_;  // Into view_.
   std::unordered_map<std::string, service_state> services_;
   reserve_share reserve_share_;
   std::unordered_map<std::string, weighted_split> splits_;   // By route.
-  std::map<std::string, std::shared_ptr<peer_link>> links_;  // By IP number.
-  std::string last_proof_peer_;  // Of the `others`; an IP number.
+  std::map<std::string, std::shared_ptr<peer_link>> links_;  // By IP.
+  std::string last_proof_peer_;  // IP; the round-robin position of AskProofs().
   const std::shared_ptr<std::uint64_t> last_number_ =
-      std::make_shared<std::uint64_t>(0);  // Of calls on all links.
+      std::make_shared<std::uint64_t>(0);  // Last call number, of all links.
   std::unordered_map<call_id, call_ptr> calls_;
   call_id next_id_ = 1;
-  time_point answer_by_ = time_point::max();  // Earlier while stopping.
-  recent_maximum max_request_time_;           // Of what requests needed.
+  time_point answer_by_ = time_point::max();  // Finite while stopping.
+  recent_maximum max_request_time_;
   origin_counters counters_;
 };
 
--- a/src/forward/origin_keys.cc
+++ b/src/forward/origin_keys.cc
@@ -1,4 +1,4 @@
-// Whose requests the origin takes: their API keys and quotas.
+// Authentication and quotas of the origin's calls.
 #include <optional>
 #include <string>
 
@@ -8,8 +8,8 @@
 namespace pistachioweir {
 namespace {
 
-// When to come back if the configuration is too old to judge keys by: a newer
-// one is asked for several times in it.
+// Retry-after if the configuration is too old to check keys by. Long enough for
+// several requests for a newer one.
 constexpr milliseconds kUnconfirmedRetryAfter{500};
 
 reason RefusalOf(key_verdict verdict) {
--- a/src/forward/origin_links.cc
+++ b/src/forward/origin_links.cc
@@ -1,5 +1,4 @@
-// Connections of the origin to the daemons beside targets, and what it hears of
-// them there.
+// The origin's links to the daemons of targets, and the events received there.
 #include <algorithm>
 #include <memory>
 #include <set>
@@ -17,10 +16,10 @@
 namespace pistachioweir {
 namespace {
 
-// A link that nothing was sent over for this long is closed.
+// A link that carried calls is closed after this long without use.
 constexpr milliseconds kLinkIdle{60000};
-// One that was made to tell something is closed this long after: it has been
-// told, and the peer has answered what it knows better.
+// A link opened only for gossip is closed after this long: its frames have been
+// sent, and the peer has answered with newer state.
 constexpr milliseconds kGossipLinkIdle{3000};
 
 }  // namespace
@@ -142,7 +141,7 @@
   return linked;
 }
 
-// A link tells what is known as soon as it is there.
+// A link sends all known suspects as soon as it is established.
 void origin::PushSuspectsToUnlinked() {
   for (const std::string& ip : FurtherDaemons(Unlinked(), RandomBits64)) {
     LinkTo(ip)->Probe();
@@ -190,7 +189,7 @@
   }
 }
 
-// Where daemons are that this one has no link to.
+// IP addresses of daemons without a link.
 std::vector<std::string> origin::Unlinked() const {
   std::set<std::string> ips;
   if (view_ != nullptr) {
@@ -219,9 +218,9 @@
   for (auto it = links_.begin(); it != links_.end();) {
     const milliseconds idle =
         it->second->carries_calls() ? kLinkIdle : kGossipLinkIdle;
-    // A link that is out of reach is the only one to find out when that ends:
-    // its targets get no calls, so that nothing else would ask. Closed, it left
-    // a target unused for good that was well again after a minute.
+    // Unreachable links stay open: only they can detect recovery, since their
+    // targets get no calls. Closing one left a target unused forever although
+    // it had recovered after a minute.
     const bool unused =
         it->second->reachable() && it->second->outstanding() == 0 &&
         !it->second->follows() && now - it->second->last_used() > idle;
@@ -235,7 +234,7 @@
   }
 }
 
-// Links to machines that no target lives on any more.
+// Closes links to hosts that no longer have a target.
 void origin::CloseUnusedLinks() {
   std::set<std::string> ips;
   for (const target_entry& target : view_->targets) {
--- a/src/forward/origin_stop.cc
+++ b/src/forward/origin_stop.cc
@@ -1,4 +1,4 @@
-// How the origin ends its calls when the daemon stops.
+// Ends the origin's open calls when the daemon stops.
 #include <string>
 #include <vector>
 
--- a/src/forward/relayed_call.h
+++ b/src/forward/relayed_call.h
@@ -1,5 +1,5 @@
-// relayed_call: one request of a caller on its way to a target, and what became
-// of it, apart from the protocols on both sides.
+// relayed_call: a caller's request to be forwarded to a target, and its
+// outcome, independent of the protocols on both sides.
 #pragma once
 
 #include <functional>
@@ -12,25 +12,26 @@
 namespace pistachioweir {
 
 struct relayed_call {
-  // Names this attempt of the caller; may be empty.
+  // The caller's identifier of this attempt; may be empty.
   std::string id;
   std::string host;
-  // Of the organisation that the caller acts for; empty if it gave none.
+  // API key of the organisation that the caller acts for; empty if none was
+  // sent.
   std::string api_key;
-  // The headers that the key came in, as a block; not in `request`.
+  // Raw block of the headers that carried the key; removed from `request`.
   std::string credential_headers;
   relayed_request request;
-  // How long the caller waits; zero if it doesn't say.
+  // Timeout that the caller sent; zero if none.
   milliseconds caller_timeout{0};
   time_point received;
 };
 
-// What the caller is told.
+// The outcome reported to the caller.
 struct relayed_result {
   outcome_kind kind = outcome_kind::kUnknown;
   reason why = reason::kNone;
   milliseconds retry_after{0};
-  relayed_response response;  // Only with kCompleted.
+  relayed_response response;  // Set only for kCompleted.
 };
 
 using relayed_callback = std::function<void(relayed_result)>;
--- a/src/forward/stop_plan.h
+++ b/src/forward/stop_plan.h
@@ -1,5 +1,5 @@
-// stop_plan: decides what a daemon that was told to stop still takes, and when
-// it may end.
+// stop_plan: decides until when a stopping daemon accepts requests and
+// connections, and when it may exit.
 #pragma once
 
 #include <algorithm>
@@ -10,43 +10,44 @@
 
 namespace pistachioweir {
 
-// What is going on in a stopping daemon.
+// Progress of a stopping daemon.
 struct stop_progress {
-  std::uint64_t requests_read = 0;  // Of callers, since the start.
-  std::uint64_t calls_read = 0;     // Of other daemons, since the start.
-  std::size_t open_requests = 0;    // Of callers, not answered yet.
+  std::uint64_t requests_read = 0;  // From callers, since the start.
+  std::uint64_t calls_read = 0;     // From other daemons, since the start.
+  std::size_t open_requests = 0;    // From callers, unanswered.
   std::size_t runs = 0;             // At the target.
-  // Most that a request or a run needed lately, apart from what connections
-  // that were lost on the way cost it.
+  // Recent maximum of a request's or a run's time, excluding time lost to
+  // broken connections.
   duration max_request_time{0};
 };
 
 // A stopping daemon serves until shortly before it would be killed, or until
-// ending interrupts nothing: what it turned away before would be lost for no
-// reason. It stays for kMinLinger, in which callers learn that they may not
-// come, then ends when nothing is in progress and nothing has come for
-// kIdlePeriod. A busy daemon closes early enough that twice what requests took
-// lately is left.
+// exiting interrupts nothing: earlier refusals would be needless. It stays for
+// at least kMinLinger, in which callers learn that it is not ready, and then
+// exits when nothing is in progress and nothing has arrived for kIdlePeriod. A
+// busy daemon stops accepting connections while twice the recent maximum
+// request time is left.
 //
 // Pure logic.
 class stop_plan {
  public:
-  // Two questions a second apart, the first up to a second after the signal,
-  // and their answers' way.
+  // Covers two readiness checks a second apart, the first up to a second after
+  // the signal, and the round trips of both.
   static constexpr milliseconds kMinLinger{2300};
   static constexpr milliseconds kIdlePeriod{300};
-  // Some time after all who ask have gone.
+  // Callers that still send requests delay the exit until then. It is later
+  // than callers that check readiness take to go elsewhere.
   static constexpr milliseconds kMaxCallerWait{3000};
-  // Requests are taken until then however long they may take; half of a
-  // shorter time to stop. What is taken later could still be in progress at the
-  // end, and would be cut off.
+  // Requests are accepted for this long, or half of a shorter stop timeout,
+  // regardless of how long they may take. Those accepted later might still be
+  // in progress at the exit, which would interrupt them.
   static constexpr milliseconds kAcceptAllPeriod{2500};
-  // Left for ending itself before the kill.
+  // Reserved for the shutdown itself before the kill.
   static constexpr milliseconds kExitReserve{400};
-  // Before the end, for the answers of what could not be finished to go out.
+  // Reserved before the exit for sending the answers of unfinished requests.
   static constexpr milliseconds kAnswerReserve{100};
-  // What requests took lately is taken for at least this: of short ones, some
-  // are held up by a connection that is lost on the way (400 ms).
+  // Lower bound of the assumed request time: even short requests can be delayed
+  // by a broken connection (400 ms).
   static constexpr milliseconds kMinRequestTime{400};
 
   void Begin(time_point now, milliseconds timeout) {
@@ -57,14 +58,14 @@
     last_call_ = now;
   }
 
-  // When requests in progress are answered as they are: from then on an answer
-  // of their target comes too late. Only while stopping.
+  // When open requests are answered without waiting for their targets, whose
+  // answers would come too late. Valid only while stopping.
   [[nodiscard]] time_point answer_by() const {
     return exit_by_ -
            std::min<duration>(kAnswerReserve, (exit_by_ - stop_started_) / 4);
   }
 
-  // Call often while stopping.
+  // Records progress; call often while stopping.
   void Update(const stop_progress& progress, time_point now) {
     if (progress.requests_read != progress_.requests_read) {
       last_request_ = now;
@@ -77,18 +78,17 @@
 
   [[nodiscard]] bool stopping() const { return stopping_; }
 
-  // Whether requests on open connections and calls of other daemons are still
-  // served.
+  // Whether requests on open connections and calls from other daemons are
+  // accepted.
   [[nodiscard]] bool AcceptsRequests(time_point now) const {
     return !stopping_ || now < AcceptUntil(1);
   }
 
-  // Whether new connections are still taken.
   [[nodiscard]] bool AcceptsConnections(time_point now) const {
     return !stopping_ || now < AcceptUntil(2);
   }
 
-  // Notes the progress as well.
+  // Whether the daemon may exit. Records progress too.
   [[nodiscard]] bool IsOver(const stop_progress& progress, time_point now) {
     Update(progress, now);
     if (now >= exit_by_) {
@@ -105,7 +105,7 @@
   }
 
  private:
-  // When `factor` what a request may take is left.
+  // When `factor` times the assumed request time is left.
   [[nodiscard]] time_point AcceptUntil(int factor) const {
     const duration stop = exit_by_ - stop_started_;
     const duration request_time =
@@ -120,7 +120,7 @@
   time_point exit_by_;
   time_point last_request_;
   time_point last_call_;
-  // Before the first is noted, requests may take any time.
+  // Until the first update, requests are assumed to take any time.
   stop_progress progress_{.max_request_time = duration::max()};
 };
 
--- a/tests/forward_keys_test.cc
+++ b/tests/forward_keys_test.cc
@@ -35,8 +35,8 @@
   int requests_ = 0;
 };
 
-// Guards against a key that leaves the daemon, and against a caller that names
-// another organisation than its key's.
+// Guards against keys that are forwarded to targets, and against a caller that
+// names an organisation other than its key's.
 TEST_F(forward_keys_test, TheTargetGetsTheHoldersNameAndNeverTheKey) {
   ASSERT_EQ(StatusOf("/look/1",
                      "Authorization: Token secret-1\r\nTenant: south\r\n"
@@ -68,8 +68,8 @@
   EXPECT_EQ(Header(path_.target.requests[0], "Tenant"), "(none)");
 }
 
-// Guards against a withdrawn key that is still served on a connection that was
-// opened before, or on one daemon that stands still.
+// Guards against a withdrawn key that is still accepted on a connection opened
+// before, or by a daemon that stalled.
 TEST_F(forward_keys_test, AWithdrawnKeyIsRefusedOnAnOpenConnection) {
   const std::string key = "Authorization: Token secret-1\r\n";
   EXPECT_EQ(StatusOf("/look/1", key), 200);
@@ -78,7 +78,7 @@
   EXPECT_EQ(StatusOf("/look/2", key), 401);
 }
 
-// Guards against a daemon that can't learn of withdrawn keys and goes on.
+// Guards against a daemon that accepts keys while it can't receive withdrawals.
 TEST_F(forward_keys_test, WithAStaleConfigurationKeysAreRefusedAsNotExecuted) {
   const std::string key = "Authorization: Token secret-1\r\n";
   for (const auto age :
@@ -92,7 +92,7 @@
   EXPECT_EQ(path_.target.requests.size(), 3U);
 }
 
-// Guards against keys of other systems that are lost on deployments without
+// Guards against dropping other systems' credentials on deployments without
 // organisations.
 TEST_F(forward_keys_test, WithoutOrganisationsCredentialsAreForwarded) {
   path_.Configure();
--- a/tests/forward_path_test.cc
+++ b/tests/forward_path_test.cc
@@ -1,5 +1,5 @@
-// The way of a request through one daemon, from its caller's connection to its
-// target's and back, over real sockets. Both protocols are the platform's.
+// Forwarding through one daemon, from a caller's connection to the target's and
+// back, over real sockets and the platform's protocols.
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -87,9 +87,9 @@
   EXPECT_EQ(early.NextResponse().status, 404);
 }
 
-// A request crashes the target that runs it, and its caller sends it again once
-// the target is back. Each time all others lose what the target had in progress
-// for them. From the third time on the request must not reach a target.
+// Guards against a request that crashes its target whenever the caller resends
+// it, which each time loses the target's other runs. From the third time on it
+// must not reach a target.
 TEST_F(forward_path_test, ARequestThatCrashesItsTargetTwiceIsRefused) {
   path_.Configure();
   std::size_t poisoned = 0;
@@ -108,7 +108,7 @@
   for (int i = 0; i < 2; ++i) {
     client.Request("POST", "/sign/poison", "id-" + std::to_string(i), "body");
     EXPECT_EQ(client.NextResponse().status, 502);
-    // Another start of the target is registered after the cut was noticed.
+    // The target's new start is registered after the reset was detected.
     path_.target_side.SetTargetStart("again-" + std::to_string(i));
   }
   client.Request("POST", "/sign/poison", "id-3", "body");
@@ -120,9 +120,9 @@
   EXPECT_EQ(client.NextResponse().status, 200);
 }
 
-// Refused on the VMs of one service, the caller of such a request goes to those
-// of another. Told apart by the service that it comes from, the request crashed
-// two more targets for each of them.
+// Guards against crashing requests that are tracked per caller service: a
+// caller that is refused on the VMs of one service goes to those of another,
+// and the request crashed two more targets for each service.
 TEST_F(forward_path_test, ACrashingRequestIsRecognisedFromAnyCallerService) {
   path_.Configure();
   std::size_t poisoned = 0;
@@ -149,8 +149,9 @@
   EXPECT_EQ(poisoned, 2U);
 }
 
-// A caller sends three lookups at once and the target answers the last one
-// first. Answers in that order would be taken for those of other requests.
+// Guards against answers sent in the target's order: the caller would match
+// them to the wrong requests. The target answers three pipelined lookups in
+// reverse.
 TEST_F(forward_path_test, PipelinedRequestsAreAnsweredInTheirOrder) {
   path_.Configure();
   std::vector<std::pair<read_request, connection_ptr>> held;
@@ -173,9 +174,9 @@
   EXPECT_EQ(client.NextResponse().body, "/look/3");
 }
 
-// A signature comes behind a lookup that is not answered yet. If the answer of
-// the lookup ended the connection, the caller would take the signature as not
-// read and send it again; so it is not begun before.
+// Guards against double execution: if the answer to the pipelined lookup closed
+// the connection, the caller would assume that the at-most-once request behind
+// it was not read, and resend it. So that one is not started before the answer.
 TEST_F(forward_path_test, AnAtMostOnceRequestIsNotStartedBehindOthers) {
   path_.Configure();
   std::vector<std::pair<read_request, connection_ptr>> held;
@@ -195,7 +196,8 @@
 }
 
 // The target sends an answer twice. The second copy arrives where the answer to
-// the next request is expected; that request's caller must get its own.
+// the next request is expected, and must not be returned to that request's
+// caller.
 TEST_F(forward_path_test, ADuplicateAnswerIsNotMatchedToAnotherRequest) {
   path_.Configure();
   int number = 0;
@@ -216,11 +218,11 @@
   EXPECT_EQ(client.NextResponse().body, "second");
   client.Request("GET", "/look/3", "id-3");
   EXPECT_EQ(client.NextResponse().body, "second");
-  // The connection on which something odd came was not used again.
+  // The connection with the unexpected answer was not reused.
   EXPECT_EQ(path_.target.connections, 2);
 }
 
-// The same, but the second copy comes while nothing is asked.
+// The same, but the second copy arrives while no request is open.
 TEST_F(forward_path_test, UnexpectedBytesCloseAnIdleConnection) {
   path_.Configure();
   connection_ptr last;
@@ -239,8 +241,9 @@
   EXPECT_EQ(path_.target.connections, 2);
 }
 
-// The target's process ends in the middle of an answer to a signature. It may
-// have run: its caller gets neither half an answer nor a promise.
+// The target's process ends within its answer to an at-most-once request, which
+// may have run: the caller must get neither a truncated answer nor a statement
+// that it was not executed.
 TEST_F(forward_path_test, ATruncatedAnswerIsReportedAsUnknown) {
   path_.Configure();
   path_.target.on_request = [](const read_request& request,
@@ -280,8 +283,9 @@
   EXPECT_EQ(client.NextResponse().status, 502);
 }
 
-// The target rejects a long body before it has read it and goes on reading. The
-// next request on that connection would be taken for the rest of the body.
+// The target rejects a long body before it has read all of it and goes on
+// reading: it would take the next request on that connection for the rest of
+// the body.
 TEST_F(forward_path_test, AConnectionAnsweredEarlyIsNotReused) {
   path_.Configure();
   int number = 0;
@@ -305,8 +309,8 @@
   EXPECT_EQ(client.NextResponse().body, "next");
 }
 
-// The target says that it hasn't run the request, and there is no other. The
-// caller is told so, and when to come back.
+// The only target states that it hasn't run the request. The caller gets that
+// and a Retry-After.
 TEST_F(forward_path_test, ATargetsRefusalIsReportedAsNotExecuted) {
   path_.Configure();
   path_.target.on_request = [](const read_request& request,
@@ -322,8 +326,9 @@
   EXPECT_FALSE(FindHeader(answer.headers, "Response-Signature").has_value());
 }
 
-// A target's own 503 without that word has run; passed on as it is, its
-// signature tells the caller whose it is.
+// A target's error, such as a 503, without Not-Executed means that the request
+// has run. It is forwarded unchanged; its signature identifies the target as
+// its source.
 TEST_F(forward_path_test, ATargetsOwnFailureIsForwarded) {
   path_.Configure();
   path_.target.on_request = [](const read_request& request,
@@ -350,8 +355,8 @@
   EXPECT_EQ(client.NextResponse().status, 503);
 }
 
-// The target does not answer. Its caller is told at the route's timeout that
-// nobody knows, long before its own deadline.
+// The target does not answer. The caller gets an unknown outcome at the route's
+// timeout, long before its own deadline.
 TEST_F(forward_path_test, TheRoutesTimeoutIsEnforced) {
   path_.Configure(milliseconds(200));
   caller client(path_);
@@ -362,8 +367,8 @@
   EXPECT_LE(std::stoi(Header(path_.target.requests[0], "Deadline-Ms")), 200);
 }
 
-// A caller gives up a lookup. The target would go on with work that nobody
-// waits for; its connection is closed, which makes it stop.
+// A caller disconnects during a lookup. Its connection to the target is closed,
+// which cancels the work; else the target would continue it for nobody.
 TEST_F(forward_path_test, ALookupWhoseCallerDisconnectsIsCancelled) {
   path_.Configure();
   caller client(path_);
@@ -374,8 +379,8 @@
   ASSERT_TRUE(path_.RunUntil([&] { return path_.target.ended == 1; }));
 }
 
-// The target was restarted while connections to it were kept. The next lookup
-// must not be lost on one of those.
+// The target restarts while pooled connections to it are idle. The next request
+// must not be lost on one of them.
 TEST_F(forward_path_test, AConnectionClosedWhileIdleIsNotReused) {
   path_.Configure();
   connection_ptr last;
@@ -401,10 +406,10 @@
   EXPECT_EQ(client.NextResponse().status, 503);
 }
 
-// A target calls another one in the last milliseconds before its own caller
-// gives up, or answers then that it has run out of time and is asked once more
-// elsewhere. No target can do anything in the time that is left, and what has
-// not been sent can be refused truthfully.
+// Requests may arrive, or be retried after a target ran out of time, in the
+// last milliseconds before the deadline. No target can finish them in that
+// time, and a request that was never sent can safely be refused as not
+// executed.
 TEST_F(forward_path_test, ARequestWithoutTimeLeftIsNotSent) {
   path_.Configure();
   path_.target.on_request = [&](const read_request& request,
@@ -425,8 +430,8 @@
   EXPECT_EQ(path_.target.requests.size(), 1U);
 }
 
-// A stopping daemon ends each connection behind its answer, so that its callers
-// go elsewhere, and refuses what it could not finish.
+// A stopping daemon closes each connection after its answer, so that callers go
+// elsewhere, and refuses requests that it could not finish.
 TEST_F(forward_path_test, AStoppingDaemonClosesConnectionsAfterAnswers) {
   path_.Configure();
   AnswerAll();
@@ -444,11 +449,11 @@
   EXPECT_EQ(path_.target.requests.size(), 1U);
 }
 
-// Two callers connect at the moment at which a stopping daemon finds nothing in
-// progress and ends. Both connections have been taken, one of them unseen. Its
-// request was begun, and cut off 25 ms later with its target at work: the
-// caller of a signature doesn't know whether it ran (soak: cut by a planned
-// stop).
+// Guards against a request that is started after the daemon decided to exit.
+// Two callers connect just as it finds nothing in progress; the kernel has
+// accepted both connections, the daemon only one. The request on the other was
+// started and interrupted 25 ms later while running at the target, so that the
+// outcome of an at-most-once request was unknown (soak: cut by a planned stop).
 TEST_F(forward_path_test, AConnectionAcceptedAfterCloseIsDropped) {
   path_.Configure();
   AnswerAll();
@@ -464,7 +469,7 @@
   EXPECT_TRUE(second.answers.empty());
 }
 
-// Guards against requests that the end of a planned stop cuts.
+// Guards against requests that are interrupted at the end of a planned stop.
 TEST_F(forward_path_test, RequestsThatAStopCannotAwaitAreAnswered) {
   path_.Configure();
   caller client(path_);
@@ -480,7 +485,7 @@
   EXPECT_EQ(path_.server.state().open_requests, 0U);
 }
 
-// Guards against a queue in which requests wait past the end of the process.
+// Guards against requests that are queued past the exit of the process.
 TEST_F(forward_path_test, AStoppingDaemonQueuesNothingPastItsEnd) {
   path_.Configure();
   path_.target_side.SetSlots(1);
@@ -495,11 +500,11 @@
   EXPECT_EQ(path_.target.requests.size(), 1U);
 }
 
-// Guards against a queued call that is told as unknown though it never ran.
+// Guards against a queued call that is reported as unknown though it never ran.
 TEST_F(forward_path_test, AStoppingExecutorReportsQueuedRunsAsNotExecuted) {
   path_.Configure();
   path_.target_side.SetSlots(1);
-  std::vector<answer_frame> told;
+  std::vector<answer_frame> answers;
   for (const std::string id : {"id-1", "id-2"}) {
     path_.target_side.Serve(
         {.target_id = "target-1",
@@ -508,16 +513,16 @@
          .objective_left = milliseconds(1000),
          .request_id = id,
          .request = {.verb = "POST", .target = "/sign/" + id}},
-        [&](answer_frame answer) { told.push_back(std::move(answer)); });
+        [&](answer_frame answer) { answers.push_back(std::move(answer)); });
   }
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.target.requests.size() == 1; }));
   path_.target_side.EndOpen();
-  ASSERT_EQ(told.size(), 2U);
-  std::ranges::sort(told, {}, &answer_frame::reached_target);
-  EXPECT_EQ(told[0].kind, outcome_kind::kNotExecuted);
-  EXPECT_EQ(told[0].why, reason::kDraining);
-  EXPECT_EQ(told[1].kind, outcome_kind::kUnknown);
+  ASSERT_EQ(answers.size(), 2U);
+  std::ranges::sort(answers, {}, &answer_frame::reached_target);
+  EXPECT_EQ(answers[0].kind, outcome_kind::kNotExecuted);
+  EXPECT_EQ(answers[0].why, reason::kDraining);
+  EXPECT_EQ(answers[1].kind, outcome_kind::kUnknown);
 }
 
 TEST_F(forward_path_test, MalformedRequestsAreRejected) {
--- a/tests/origin_links_test.cc
+++ b/tests/origin_links_test.cc
@@ -1,4 +1,4 @@
-// An origin's connections to the daemons beside targets, over real sockets.
+// An origin's links to the daemons of targets, over real sockets.
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -24,7 +24,7 @@
 
 const std::string kRemoteIp = "127.0.0.9";
 
-// A daemon whose target answers each run as soon as it has begun, or never.
+// A daemon whose target answers each run as soon as it starts, or never.
 class remote_daemon {
  public:
   remote_daemon(boost::asio::io_context& context, std::uint16_t port)
@@ -97,7 +97,7 @@
     return LocalEndpoint(listener).port;
   }
 
-  // `outcome` is filled in once the request has an answer.
+  // Sets `outcome` once the request is answered.
   void Submit(const std::string& verb, std::optional<relayed_result>* outcome) {
     origin_.Submit(
         {.id = "id",
@@ -107,7 +107,7 @@
         [outcome](relayed_result result) { *outcome = std::move(result); });
   }
 
-  // What becomes of one request.
+  // Submits a request and waits for its outcome.
   outcome_kind Request() {
     std::optional<relayed_result> outcome;
     Submit("GET", &outcome);
@@ -115,8 +115,8 @@
     return outcome.value_or(relayed_result()).kind;
   }
 
-  // One that a target begins and never answers; `while_running` happens in
-  // between.
+  // Submits a request that the target starts and never answers; calls
+  // `while_running` after the start.
   outcome_kind SubmitUnanswered(remote_daemon* remote,
                                 const std::function<void()>& while_running) {
     remote->answers = false;
@@ -135,12 +135,11 @@
   origin origin_;
 };
 
-// A VM is cut off for longer than connections without calls are kept. Nobody
-// sends it calls while_running, since it is known to be out of reach, so its
-// connection counted as unused, and with it ended the only attempts to reach
-// it: a daemon went without that target for good, and refused requests when the
-// others were gone (soak seed 506: peer_reachable reachable=no, and none with
-// yes for 13 s though the peer was well).
+// Guards against a target that stays unused after a long partition of its VM.
+// An unreachable peer gets no calls, so its link was closed as idle, and with
+// it ended the only attempts to reconnect; requests were refused once the other
+// targets were gone (soak seed 506: peer_reachable reachable=no, and none with
+// yes for 13 s though the peer had recovered).
 TEST_F(origin_links_test, APeerThatComesBackAfterALongTimeIsUsedAgain) {
   EXPECT_EQ(Request(), outcome_kind::kNotExecuted);
   origin_.Tick(monotonic_clock::now() + seconds(61));
@@ -151,13 +150,13 @@
   EXPECT_EQ(back.runs, 1);
 }
 
-// The daemon beside the only target is reached again 20 ms after a request has
-// found nobody. The request was refused, with 2 s left, and its caller had to
-// spend a retry on that.
+// Guards against a refusal, with 2 s left, of a request that finds no target
+// when the only target's daemon is reachable again 20 ms later. The refusal
+// cost the caller a retry.
 TEST_F(origin_links_test, ARequestSurvivesABriefLackOfTargets) {
   std::optional<relayed_result> outcome;
   Submit("GET", &outcome);
-  // The connection is refused as soon as the context runs, not before.
+  // The connection is refused only once the context runs.
   const time_point refused = monotonic_clock::now() + milliseconds(20);
   RunUntil(context_, [&] { return monotonic_clock::now() >= refused; });
   const remote_daemon back(context_, port_);
@@ -165,8 +164,7 @@
   EXPECT_EQ(outcome->kind, outcome_kind::kCompleted);
 }
 
-// Guards against requests that reach a target its own daemon knows to have
-// left.
+// Guards against requests to a target that its own daemon knows to have left.
 TEST_F(origin_links_test, ATargetThatHasLeftGetsNoRequests) {
   remote_daemon remote(context_, port_);
   remote.target_side.SetViewState([] { return view_state{.revision = 1}; },
@@ -182,7 +180,7 @@
   EXPECT_EQ(remote.runs, 1);
 }
 
-// Guards against a request that is outcome as unknown though it has not left.
+// Guards against reporting a request as unknown though it was never sent.
 TEST_F(origin_links_test, UnsentRequestsAreReportedAsNotExecutedAtStop) {
   const auto silent = Listen(context_, {.ip = kRemoteIp, .port = port_});
   std::optional<relayed_result> outcome;
@@ -195,7 +193,7 @@
   EXPECT_GT(outcome->retry_after, milliseconds(0));
 }
 
-// Guards against a stop that closes early because a connection was lost.
+// Guards against a stop that refuses requests early because a connection broke.
 TEST_F(origin_links_test, TimeLostToTheNetworkIsNotRequestTime) {
   auto remote = std::make_unique<remote_daemon>(context_, port_);
   EXPECT_EQ(SubmitUnanswered(remote.get(), [&] { remote.reset(); }),
@@ -203,7 +201,7 @@
   EXPECT_EQ(origin_.MaxRequestTime(monotonic_clock::now()), duration(0));
 }
 
-// Guards against a stop that closes too late for a slow target.
+// Guards against a stop that accepts requests too late for a slow target.
 TEST_F(origin_links_test, TimeAtATargetIsRequestTime) {
   remote_daemon remote(context_, port_);
   EXPECT_EQ(SubmitUnanswered(&remote, [] {}), outcome_kind::kUnknown);
--- a/tests/stop_plan_test.cc
+++ b/tests/stop_plan_test.cc
@@ -1,4 +1,4 @@
-// When a stopping daemon ends, and until when it takes requests.
+// When a stopping daemon exits, and until when it accepts requests.
 #include "src/forward/stop_plan.h"
 
 #include <gtest/gtest.h>
@@ -35,10 +35,10 @@
   EXPECT_TRUE(plan.IsOver({.requests_read = 5}, kStart + milliseconds(2750)));
 }
 
-// Callers of a VM don't stop coming, because too few other daemons are left for
-// the platform to send them away. A request that was taken 4.5 s after the
-// signal was cut off when the daemon ended a second later, with its target at
-// work: its caller got no answer.
+// Guards against requests that the exit interrupts. Callers keep sending if too
+// few other daemons are left for the platform to redirect them. A request
+// accepted 4.5 s after the signal was interrupted at the target when the daemon
+// exited a second later, and its caller got no answer.
 TEST(StopPlanTest, RefusesRequestsThatItCouldNotFinish) {
   stop_plan plan;
   EXPECT_TRUE(plan.AcceptsRequests(kStart));
@@ -56,14 +56,14 @@
 }
 
 struct stop_result {
-  int refused = 0;       // Requests that a caller was turned away with.
-  int interrupted = 0;   // In progress when the daemon ended.
-  milliseconds took{0};  // From the signal to the end.
+  int refused = 0;       // Refused requests.
+  int interrupted = 0;   // In progress at the exit.
+  milliseconds took{0};  // From the signal to the exit.
 };
 
-// Callers that send the next request some time after each answer, over
-// connections that they have or open anew, until the daemon has gone. The state
-// is looked at as often as the daemon does.
+// Simulates callers that send the next request `pause` after each answer, over
+// existing or new connections, until the daemon exits. The state is polled as
+// often as in the daemon.
 stop_result SimulateStop(int callers,
                          milliseconds request,
                          milliseconds pause) {
@@ -81,9 +81,9 @@
     progress.open_requests = 0;
     for (std::size_t i = 0; i < next_at.size(); ++i) {
       if (next_at[i] <= now && plan.AcceptsConnections(kStart + now)) {
-        const bool taken = plan.AcceptsRequests(kStart + now);
-        result.refused += taken ? 0 : 1;
-        answered_at[i] = now + (taken ? request : milliseconds(0));
+        const bool accepted = plan.AcceptsRequests(kStart + now);
+        result.refused += accepted ? 0 : 1;
+        answered_at[i] = now + (accepted ? request : milliseconds(0));
         next_at[i] = answered_at[i] + pause;
         ++progress.requests_read;
       }
@@ -98,17 +98,16 @@
   return result;
 }
 
-// A daemon is told to stop, and its callers don't look at whether it is ready:
-// they use the connections that they have and open new ones. The daemon stays
-// for six seconds, and from two and a half on it refused all they sent, though
-// it still had its view and its links. Callers saw nothing but refusals for
-// three seconds, 1,621 of 6,207 requests (log: refused_at_entrance
-// why=draining).
+// Guards against needless refusals during a stop of six seconds. Callers that
+// ignore readiness keep using their connections and open new ones. From 2.5 s
+// on the daemon refused them all, though it still had its view and its links:
+// they saw only refusals for three seconds, 1,621 of 6,207 requests (log:
+// refused_at_entrance why=draining).
 TEST(StopPlanTest, ServesCallersThatStayUntilItEnds) {
   const stop_result few = SimulateStop(4, milliseconds(65), milliseconds(75));
   EXPECT_EQ(few.refused, 0);
   EXPECT_EQ(few.interrupted, 0);
-  // And it doesn't wait for callers that never go.
+  // It doesn't wait for callers that never go elsewhere.
   EXPECT_LT(few.took, milliseconds(4000));
 }
 
@@ -119,8 +118,8 @@
   EXPECT_GT(many.took, milliseconds(4500));
 }
 
-// With requests that take long, some are taken so late that they would be cut
-// off if the daemon went on taking them.
+// Guards against long requests that are accepted so late that the exit
+// interrupts them.
 TEST(StopPlanTest, LongRequestsAreNotInterrupted) {
   for (const milliseconds request :
        {milliseconds(600), milliseconds(1300), milliseconds(2700)}) {
@@ -129,8 +128,8 @@
   }
 }
 
-// Calls of other daemons come only where no other target is left: as long as
-// they do, the daemon stays.
+// Other daemons call a stopping daemon only if no other target is left, so it
+// stays as long as they do.
 TEST(StopPlanTest, StaysWhileOtherDaemonsNeedItsTarget) {
   stop_plan plan;
   plan.Begin(kStart, kTimeout);
@@ -143,7 +142,7 @@
   EXPECT_TRUE(plan.IsOver(progress, kStart + milliseconds(4300)));
 }
 
-// Guards against answers that are due when the process has ended.
+// Guards against answers that are due only after the process has exited.
 TEST(StopPlanTest, AnswersBeforeItEnds) {
   for (const milliseconds timeout : {milliseconds(200), kTimeout}) {
     stop_plan plan;
--- a/tests/support/forward_path.h
+++ b/tests/support/forward_path.h
@@ -1,5 +1,5 @@
-// forward_path: one daemon's way from its callers' connections to its target
-// and back, over real sockets, and callers of it.
+// forward_path: the forwarding path of one daemon, from callers' connections to
+// its target and back, over real sockets; and a test caller.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
 
 class forward_path {
  public:
-  // `adjust` changes the caller's side before it is made.
+  // `adjust` changes the origin's options before it is created.
   explicit forward_path(
       const std::function<void(origin_options*)>& adjust = nullptr)
       : target(context),
@@ -50,7 +50,7 @@
                {.address = {.ip = "127.0.0.1", .port = 0}},
                caller_side) {}
 
-  // Requests carry keys if there are organisations.
+  // With organisations, requests have to carry API keys.
   void Configure(milliseconds timeout = milliseconds(5000),
                  std::vector<organisation> organisations = {}) {
     std::vector<route> routes;
@@ -152,7 +152,7 @@
     socket_.close(ignored);
   }
 
-  // The next whole answer.
+  // Waits for the next complete response; default if the connection closes.
   read_response NextResponse() {
     read_response next;
     EXPECT_TRUE(path_.RunUntil([&] { return !answers.empty() || closed; }));
@@ -185,7 +185,7 @@
     while (!buffer_.empty()) {
       response_reader reader({}, false);
       std::size_t taken = 0;
-      // An unfinished message is read again from its beginning.
+      // An incomplete message is parsed again from its beginning.
       if (reader.Feed(buffer_, &taken) != read_state::kDone) {
         return;
       }
