--- a/include/organisation/key_check.h
+++ b/include/organisation/key_check.h
@@ -23,7 +23,7 @@
 inline constexpr enum_table<key_verdict, 4> kKeyVerdictNames(
     {"not_needed", "held", "not_held", "unconfirmed"});
 
-struct key_question {
+struct key_check_input {
   const organisation_table* organisations = nullptr;  // nullptr without keys.
   bool is_public = false;                             // The route.
   std::string_view api_key;
@@ -34,26 +34,26 @@
   milliseconds max_age{0};
 };
 
-struct key_answer {
+struct key_check_result {
   key_verdict verdict = key_verdict::kNotNeeded;
   const organisation* holder = nullptr;  // Only with kHeld.
 };
 
 // An old configuration says nothing either way: keys may have been withdrawn
 // and added since.
-[[nodiscard]] inline key_answer CheckKey(const key_question& question) {
-  if (question.organisations == nullptr) {
+[[nodiscard]] inline key_check_result CheckKey(const key_check_input& input) {
+  if (input.organisations == nullptr) {
     return {};
   }
   const bool confirmed =
-      question.max_age <= milliseconds(0) ||
-      (question.proven_age && *question.proven_age <= question.max_age);
-  const organisation* const holder =
-      question.organisations->Find(question.api_key);
-  if (question.is_public) {
+      input.max_age <= milliseconds(0) ||
+      (input.proven_age && *input.proven_age <= input.max_age);
+  const organisation* const holder = input.organisations->Find(input.api_key);
+  if (input.is_public) {
     return holder != nullptr && confirmed
-               ? key_answer{.verdict = key_verdict::kHeld, .holder = holder}
-               : key_answer{};
+               ? key_check_result{.verdict = key_verdict::kHeld,
+                                  .holder = holder}
+               : key_check_result{};
   }
   if (!confirmed) {
     return {.verdict = key_verdict::kUnconfirmed};
--- a/include/organisation/precedence.h
+++ b/include/organisation/precedence.h
@@ -26,43 +26,44 @@
 
   [[nodiscard]] static precedence Make(const organisation_table& organisations,
                                        const route_table& routes) {
-    precedence made;
+    precedence result;
     for (const organisation& each : organisations.organisations()) {
-      for (const route& taken : routes.routes()) {
-        if (!taken.is_public) {
-          made.pairs_.push_back(PairOf(each, taken));
+      for (const route& matched : routes.routes()) {
+        if (!matched.is_public) {
+          result.pairs_.push_back(MakePair(each, matched));
         }
       }
     }
-    std::ranges::sort(made.pairs_);
-    made.pairs_.erase(std::unique(made.pairs_.begin(), made.pairs_.end()),
-                      made.pairs_.end());
-    return made;
+    std::ranges::sort(result.pairs_);
+    result.pairs_.erase(std::unique(result.pairs_.begin(), result.pairs_.end()),
+                        result.pairs_.end());
+    return result;
   }
 
-  [[nodiscard]] std::uint32_t RankOf(const organisation* of,
-                                     const route& taken) const {
-    if (of == nullptr || pairs_.empty()) {
-      return taken.rank;
+  [[nodiscard]] std::uint32_t RankOf(const organisation* holder,
+                                     const route& matched) const {
+    if (holder == nullptr || pairs_.empty()) {
+      return matched.rank;
     }
-    const auto place = static_cast<std::size_t>(
-        std::ranges::lower_bound(pairs_, PairOf(*of, taken)) - pairs_.begin());
+    const auto index = static_cast<std::size_t>(
+        std::ranges::lower_bound(pairs_, MakePair(*holder, matched)) -
+        pairs_.begin());
     const std::size_t levels = std::max(pairs_.size(), kPriorityCount);
-    return static_cast<std::uint32_t>(place * kPriorityCount / levels);
+    return static_cast<std::uint32_t>(index * kPriorityCount / levels);
   }
 
   // Whether some other organisation is to give way to this one.
-  [[nodiscard]] bool IsAhead(const organisation* of) const {
-    return of != nullptr && of->rank && !pairs_.empty() &&
-           *of->rank < pairs_.back().first;
+  [[nodiscard]] bool TakesPrecedence(const organisation* holder) const {
+    return holder != nullptr && holder->rank && !pairs_.empty() &&
+           *holder->rank < pairs_.back().first;
   }
 
  private:
   using rank_pair = std::pair<std::uint32_t, std::uint32_t>;
 
-  [[nodiscard]] static rank_pair PairOf(const organisation& of,
-                                        const route& taken) {
-    return {of.rank.value_or(taken.rank), taken.rank};
+  [[nodiscard]] static rank_pair MakePair(const organisation& holder,
+                                          const route& matched) {
+    return {holder.rank.value_or(matched.rank), matched.rank};
   }
 
   std::vector<rank_pair> pairs_;  // In order, each once.
--- a/include/quarantine/told_crashes.h
+++ b/include/quarantine/crash_dedup_cache.h
@@ -1,4 +1,4 @@
-// told_crashes: which crashes of which requests a daemon has been told of.
+// crash_dedup_cache: which crashes of which requests a daemon has been told of.
 #pragma once
 
 #include <cstddef>
@@ -11,18 +11,18 @@
 
 namespace pistachioweir {
 
-struct told_crashes_options {
+struct crash_dedup_options {
   // Longer than daemons tell of a crash, which they do for the period of its
   // quarantine.
-  milliseconds memory{120000};
+  milliseconds retention{120000};
   // Crashes of requests within `memory`.
-  std::size_t most = 16384;
+  std::size_t max_entries = 16384;
 };
 
-enum class told_verdict : std::uint8_t {
-  kFirst,
-  kBefore,  // It was told within the memory.
-  kNoRoom,  // It may have been; it isn't remembered, and must not be passed on.
+enum class dedup_result : std::uint8_t {
+  kNew,
+  kDuplicate,  // It was told within the memory.
+  kFull,  // It may have been; it isn't remembered, and must not be passed on.
 };
 
 // Daemons pass on what they hear for the first time, so many copies come of
@@ -33,24 +33,24 @@
 // news, and so did those that it told, without end.
 //
 // Pure logic; the owner keeps one beside its quarantine.
-class told_crashes {
+class crash_dedup_cache {
  public:
-  explicit told_crashes(const told_crashes_options& options = {})
+  explicit crash_dedup_cache(const crash_dedup_options& options = {})
       : options_(options) {}
 
-  told_verdict Add(const request_fingerprint& request,
+  dedup_result Add(const request_fingerprint& request,
                    crash_id crash,
                    time_point now);
 
  private:
-  void Age(time_point now);
-
-  const told_crashes_options options_;
-  // Hashes of request and crash: those that were added since `began_`, and for
-  // as long before that. At most `most` each.
-  std::unordered_set<std::uint64_t> newer_;
-  std::unordered_set<std::uint64_t> older_;
-  time_point began_;
+  void RotateGenerations(time_point now);
+
+  const crash_dedup_options options_;
+  // Hashes of request and crash: those that were added since
+  // `generation_start_`, and for as long before that. At most `most` each.
+  std::unordered_set<std::uint64_t> current_;
+  std::unordered_set<std::uint64_t> previous_;
+  time_point generation_start_;
 };
 
 }  // namespace pistachioweir
--- a/include/quarantine/quarantine.h
+++ b/include/quarantine/quarantine.h
@@ -31,13 +31,13 @@
 struct quarantine_options {
   // Different crashes that quarantine a request. One is no evidence: all other
   // requests in progress then are suspects too.
-  static constexpr std::uint32_t kCrashes = 2;
+  static constexpr std::uint32_t kCrashThreshold = 2;
   // Where targets crash without it as well, being there twice is likely for a
   // request that takes seconds. The third crash is the last that a request may
   // cause.
-  static constexpr std::uint32_t kCrashesAmongOthers = 3;
+  static constexpr std::uint32_t kCrashThresholdWhenUnstable = 3;
   // Crashes of others within `period` from which on that holds.
-  static constexpr std::size_t kManyOthers = 4;
+  static constexpr std::size_t kUnrelatedCrashThreshold = 4;
 
   // How long a request is refused, and how long a suspect is remembered.
   milliseconds period{60000};
@@ -49,7 +49,8 @@
 struct quarantine_entry {
   request_fingerprint fingerprint;
   // The newest first.
-  std::array<crash_id, quarantine_options::kCrashesAmongOthers> crashes{};
+  std::array<crash_id, quarantine_options::kCrashThresholdWhenUnstable>
+      crashes{};
   milliseconds remaining{0};  // Relative: no clock is compared between VMs.
 };
 
@@ -71,8 +72,8 @@
   [[nodiscard]] milliseconds Remaining(const request_fingerprint& request,
                                        time_point now) const;
   // Whether targets crash often without the request.
-  [[nodiscard]] bool CrashesAmongOthers(const request_fingerprint& request,
-                                        time_point now) const;
+  [[nodiscard]] bool HasManyUnrelatedCrashes(const request_fingerprint& request,
+                                             time_point now) const;
   // Whether no request is suspected, so that callers need not hash bodies.
   [[nodiscard]] bool empty() const { return entries_.empty(); }
 
@@ -90,21 +91,21 @@
  private:
   // Crashes of one request that are told apart. Once it is quarantined it
   // causes one a period at most, and what is told of it is not older than two.
-  static constexpr std::size_t kKnownCrashes = 8;
+  static constexpr std::size_t kMaxCrashesPerRequest = 8;
 
   struct state {
-    std::array<crash_id, kKnownCrashes> crashes{};  // The newest first.
-    time_point until;   // In force, if enough of `crashes` are known.
-    time_point forget;  // Later than `until`.
+    std::array<crash_id, kMaxCrashesPerRequest> crashes{};  // The newest first.
+    time_point until;     // In force, if enough of `crashes` are known.
+    time_point evict_at;  // Later than `until`.
   };
 
-  struct seen_crash {
+  struct recent_crash {
     crash_id id{};
     time_point at;
   };
 
   // More crashes within a period than decide anything.
-  static constexpr std::size_t kSeenCrashes = 64;
+  static constexpr std::size_t kMaxRecentCrashes = 64;
 
   struct fingerprint_hash {
     std::size_t operator()(const request_fingerprint& value) const {
@@ -117,15 +118,16 @@
   // Whether it has crashed that many targets.
   static bool HasCrashed(const state& entry, std::uint32_t targets);
   [[nodiscard]] bool IsQuarantined(const state& entry, time_point now) const;
-  [[nodiscard]] bool IsAmongOthers(const state& entry, time_point now) const;
-  void NoteCrash(crash_id crash, time_point now);
+  [[nodiscard]] bool ExceedsUnrelatedThreshold(const state& entry,
+                                               time_point now) const;
+  void RecordCrash(crash_id crash, time_point now);
   state& FindOrAdd(const request_fingerprint& request, time_point now);
-  void MakeRoom();
+  void EvictOne();
 
   quarantine_options options_;
-  // Of all requests; a ring, in which `next_seen_` is the oldest.
-  std::array<seen_crash, kSeenCrashes> seen_{};
-  std::size_t next_seen_ = 0;
+  // Of all requests; a ring, in which `next_recent_crash_` is the oldest.
+  std::array<recent_crash, kMaxRecentCrashes> recent_crashes_{};
+  std::size_t next_recent_crash_ = 0;
   // At most max_entries.
   std::unordered_map<request_fingerprint, state, fingerprint_hash> entries_;
 };
--- a/include/quarantine/suspect_spread.h
+++ b/include/quarantine/suspect_fanout.h
@@ -23,26 +23,26 @@
 // all but one in twenty are picked by somebody, and those are connected to
 // others that are. More would cost more connections for each crash, and fewer
 // would leave a small data centre out now and then.
-inline constexpr std::size_t kFurtherDaemons = 3;
+inline constexpr std::size_t kUnconnectedFanout = 3;
 
 // Up to `most` different ones of `all`.
 template <typename T, typename Random>
-[[nodiscard]] std::vector<T> SomeAtRandom(std::vector<T> all,
-                                          std::size_t most,
+[[nodiscard]] std::vector<T> RandomSample(std::vector<T> items,
+                                          std::size_t max_count,
                                           const Random& random) {
-  const std::size_t count = std::min(most, all.size());
+  const std::size_t count = std::min(max_count, items.size());
   for (std::size_t i = 0; i < count; ++i) {
-    std::swap(all[i], all[i + random() % (all.size() - i)]);
+    std::swap(items[i], items[i + random() % (items.size() - i)]);
   }
-  all.resize(count);
-  return all;
+  items.resize(count);
+  return items;
 }
 
-// Up to kFurtherDaemons different ones of `others`.
-[[nodiscard]] inline std::vector<std::string> FurtherDaemons(
-    std::vector<std::string> others,
+// Up to kUnconnectedFanout different ones of `others`.
+[[nodiscard]] inline std::vector<std::string> ChooseUnconnected(
+    std::vector<std::string> unconnected,
     const std::function<std::uint64_t()>& random) {
-  return SomeAtRandom(std::move(others), kFurtherDaemons, random);
+  return RandomSample(std::move(unconnected), kUnconnectedFanout, random);
 }
 
 }  // namespace pistachioweir
--- a/include/quota/decayed_rate.h
+++ b/include/quota/decayed_rate.h
@@ -15,30 +15,30 @@
 class decayed_rate {
  public:
   // Events this old count a third of new ones.
-  static constexpr std::chrono::duration<double> kMemory{1.0};
+  static constexpr std::chrono::duration<double> kTimeConstant{1.0};
 
   void Add(double count, time_point now) {
-    count_ = std::max(0.0, CountAt(now) + count);
-    at_ = now;
+    count_ = std::max(0.0, DecayedCount(now) + count);
+    updated_at_ = now;
   }
   void Set(double per_second, time_point now) {
-    count_ = per_second * kMemory.count();
-    at_ = now;
+    count_ = per_second * kTimeConstant.count();
+    updated_at_ = now;
   }
   // Events a second.
   [[nodiscard]] double Get(time_point now) const {
-    return CountAt(now) / kMemory.count();
+    return DecayedCount(now) / kTimeConstant.count();
   }
 
  private:
-  [[nodiscard]] double CountAt(time_point now) const {
-    const std::chrono::duration<double> passed =
-        std::max(duration(0), now - at_);
-    return count_ * std::exp(-passed / kMemory);
+  [[nodiscard]] double DecayedCount(time_point now) const {
+    const std::chrono::duration<double> elapsed =
+        std::max(duration(0), now - updated_at_);
+    return count_ * std::exp(-elapsed / kTimeConstant);
   }
 
   double count_ = 0;
-  time_point at_;
+  time_point updated_at_;
 };
 
 }  // namespace pistachioweir
--- a/include/quota/quota_ledger.h
+++ b/include/quota/quota_ledger.h
@@ -31,7 +31,7 @@
   // together.
   double overage = 0.125;
   // Word of others counts this long; several reports fall into it.
-  milliseconds memory{1000};
+  milliseconds report_validity{1000};
 };
 
 struct quota_decision {
@@ -56,20 +56,21 @@
   // Buckets of organisations that are new here begin empty: what was spent
   // before isn't known.
   void Configure(const organisation_table& organisations, time_point now) {
-    std::unordered_map<organisation_id, book, id_hash> books;
+    std::unordered_map<organisation_id, quota_account, id_hash> accounts;
     for (const organisation& each : organisations.organisations()) {
       if (each.rate <= 0) {
         continue;
       }
-      const auto known = books_.find(each.id);
-      book kept = known != books_.end() ? std::move(known->second)
-                                        : book{.level_at = now};
+      const auto existing = accounts_.find(each.id);
+      quota_account kept = existing != accounts_.end()
+                               ? std::move(existing->second)
+                               : quota_account{.refilled_at = now};
       kept.rate = each.rate;
       kept.burst = each.burst > 0 ? each.burst : each.rate;
       kept.name = each.name;
-      books.emplace(each.id, std::move(kept));
+      accounts.emplace(each.id, std::move(kept));
     }
-    books_ = std::move(books);
+    accounts_ = std::move(accounts);
   }
 
   // Daemons of the fleet, in touch or not.
@@ -77,84 +78,87 @@
     daemons_ = std::max<std::size_t>(1, count);
   }
   // Whether no other daemon is to be reported to.
-  void SetFirst(bool first) { first_ = first; }
+  void SetRoot(bool is_root) { is_root_ = is_root; }
   // Several times within `memory`.
   void Tick(time_point now) {
     std::erase_if(children_, [&](const auto& child) {
-      return now - child.second.heard > options_.memory;
+      return now - child.second.reported_at > options_.report_validity;
     });
-    below_ = 1;
+    subtree_size_ = 1;
     for (const auto& [id, child] : children_) {
-      below_ += child.daemons;
+      subtree_size_ += child.daemons;
     }
   }
 
-  [[nodiscard]] bool empty() const { return books_.empty(); }
+  [[nodiscard]] bool empty() const { return accounts_.empty(); }
 
   // `random` is from 0 up to 1.
   quota_decision Admit(organisation_id id, double random, time_point now) {
-    const auto found = books_.find(id);
-    if (found == books_.end()) {
+    const auto found = accounts_.find(id);
+    if (found == accounts_.end()) {
       return {};
     }
-    book& of = found->second;
-    const bool leads = Leads(now);
-    if (leads) {
-      Refill(&of, now);
-      of.demand.Add(1, now);
+    quota_account& account = found->second;
+    const bool acts_as_root = ActsAsRoot(now);
+    if (acts_as_root) {
+      Refill(&account, now);
+      account.demand.Add(1, now);
     }
-    of.own.Add(1, now);
-    const quota_inputs inputs = InputsOf(of, now);
-    const bool admitted = of.rule.Admit(inputs, random, now);
-    Count(&of, admitted ? 1 : 0, admitted ? 0 : 1);
-    ++(admitted ? of.admitted : of.refused);
+    account.local_demand.Add(1, now);
+    const quota_inputs inputs = InputsOf(account, now);
+    const bool admitted = account.rule.Admit(inputs, random, now);
+    Record(&account, admitted ? 1 : 0, admitted ? 0 : 1);
+    ++(admitted ? account.admitted : account.refused);
     return {.admitted = admitted,
             .retry_after = admitted ? milliseconds(0) : RetryAfter(inputs),
             .inputs = inputs};
   }
 
   // A request that was let in has not run.
-  void GiveBack(organisation_id id) {
-    const auto found = books_.find(id);
-    if (found != books_.end()) {
-      Count(&found->second, -1, 0);
+  void Refund(organisation_id id) {
+    const auto found = accounts_.find(id);
+    if (found != accounts_.end()) {
+      Record(&found->second, -1, 0);
     }
   }
 
   // For the daemon that this one reports to: all that it isn't known to have.
   [[nodiscard]] usage_report TakeReport(time_point now) {
     Tick(now);
-    usage_report report{.daemons = below_};
-    for (auto& [id, of] : books_) {
-      of.sent_admitted += std::exchange(of.new_admitted, 0);
-      of.sent_refused += std::exchange(of.new_refused, 0);
-      if (of.sent_admitted != 0 || of.sent_refused != 0) {
+    usage_report report{.daemons = subtree_size_};
+    for (auto& [id, account] : accounts_) {
+      account.unacknowledged_admitted +=
+          std::exchange(account.unreported_admitted, 0);
+      account.unacknowledged_refused +=
+          std::exchange(account.unreported_refused, 0);
+      if (account.unacknowledged_admitted != 0 ||
+          account.unacknowledged_refused != 0) {
         report.entries.push_back({.id = id,
-                                  .admitted = of.sent_admitted,
-                                  .refused = of.sent_refused});
+                                  .admitted = account.unacknowledged_admitted,
+                                  .refused = account.unacknowledged_refused});
       }
     }
     return report;
   }
 
   // It has the last report, and told this.
-  void OnQuota(const quota_report& told, time_point now) {
-    told_at_ = now;
-    told_daemons_ = told.daemons;
-    for (auto& [id, of] : books_) {
-      of.sent_admitted = 0;
-      of.sent_refused = 0;
-      of.tight = false;
-      of.level = of.burst * Part(now);
-      of.level_at = now;
-      of.demand.Set(0, now);
+  void OnQuota(const quota_report& quota, time_point now) {
+    quota_received_at_ = now;
+    reported_reachable_ = quota.daemons;
+    for (auto& [id, account] : accounts_) {
+      account.unacknowledged_admitted = 0;
+      account.unacknowledged_refused = 0;
+      account.near_limit = false;
+      account.level = account.burst * ReachableShare(now);
+      account.refilled_at = now;
+      account.demand.Set(0, now);
     }
-    for (const quota_entry& entry : told.entries) {
-      const auto found = books_.find(entry.id);
-      if (found != books_.end()) {
-        found->second.tight = true;
+    for (const quota_entry& entry : quota.entries) {
+      const auto found = accounts_.find(entry.id);
+      if (found != accounts_.end()) {
+        found->second.near_limit = true;
         found->second.level = entry.level;
-        found->second.told_demand = entry.demand;
+        found->second.reported_demand = entry.demand;
         found->second.demand.Set(entry.demand, now);
       }
     }
@@ -162,37 +166,40 @@
 
   // A daemon reported to this one.
   void OnUsage(child_id child, const usage_report& report, time_point now) {
-    child_state& known = children_[child];
-    below_ += report.daemons - std::exchange(known.daemons, report.daemons);
-    known.heard = now;
-    const bool leads = Leads(now);
+    child_state& existing = children_[child];
+    subtree_size_ +=
+        report.daemons - std::exchange(existing.daemons, report.daemons);
+    existing.reported_at = now;
+    const bool acts_as_root = ActsAsRoot(now);
     for (const usage_entry& entry : report.entries) {
-      const auto found = books_.find(entry.id);
-      if (found == books_.end()) {
+      const auto found = accounts_.find(entry.id);
+      if (found == accounts_.end()) {
         continue;
       }
-      book& of = found->second;
-      if (leads) {
-        Refill(&of, now);
-        of.demand.Add(static_cast<double>(entry.admitted + entry.refused), now);
+      quota_account& account = found->second;
+      if (acts_as_root) {
+        Refill(&account, now);
+        account.demand.Add(static_cast<double>(entry.admitted + entry.refused),
+                           now);
       }
-      Count(&of, entry.admitted, entry.refused);
+      Record(&account, entry.admitted, entry.refused);
     }
   }
 
   // For daemons that report to this one.
   [[nodiscard]] quota_report Quota(time_point now) {
-    quota_report report{.daemons = InTouch(now)};
-    const bool leads = Leads(now);
-    for (auto& [id, of] : books_) {
-      if (leads) {
-        Refill(&of, now);
+    quota_report report{.daemons = ReachableDaemons(now)};
+    const bool acts_as_root = ActsAsRoot(now);
+    for (auto& [id, account] : accounts_) {
+      if (acts_as_root) {
+        Refill(&account, now);
       }
-      const quota_inputs inputs = InputsOf(of, now);
-      const bool tight = leads ? inputs.level < kAmple * inputs.burst ||
-                                     inputs.demand > kAmple * inputs.rate
-                               : of.tight;
-      if (tight) {
+      const quota_inputs inputs = InputsOf(account, now);
+      const bool near_limit =
+          acts_as_root ? inputs.level < kNearLimitFraction * inputs.burst ||
+                             inputs.demand > kNearLimitFraction * inputs.rate
+                       : account.near_limit;
+      if (near_limit) {
         report.entries.push_back(
             {.id = id, .level = inputs.level, .demand = inputs.demand});
       }
@@ -201,8 +208,9 @@
   }
 
   // Daemons that are in touch with this one, itself included.
-  [[nodiscard]] std::uint32_t InTouch(time_point now) const {
-    return HasWord(now) ? std::max(below_, told_daemons_) : below_;
+  [[nodiscard]] std::uint32_t ReachableDaemons(time_point now) const {
+    return HasValidQuota(now) ? std::max(subtree_size_, reported_reachable_)
+                              : subtree_size_;
   }
 
   struct usage {
@@ -213,10 +221,11 @@
   // Since the start, of each organisation that was refused anything.
   [[nodiscard]] std::vector<usage> Refused() const {
     std::vector<usage> all;
-    for (const auto& [id, of] : books_) {
-      if (of.refused > 0) {
-        all.push_back(
-            {.name = of.name, .admitted = of.admitted, .refused = of.refused});
+    for (const auto& [id, account] : accounts_) {
+      if (account.refused > 0) {
+        all.push_back({.name = account.name,
+                       .admitted = account.admitted,
+                       .refused = account.refused});
       }
     }
     return all;
@@ -225,11 +234,11 @@
  private:
   // An organisation that has more than this part of its burst, and asks for
   // less than this part of its rate, need not be told of.
-  static constexpr double kAmple = 0.7;
+  static constexpr double kNearLimitFraction = 0.7;
   // An overspent bucket is not kept further below zero than this.
-  static constexpr std::chrono::duration<double> kMostDebt{2.0};
-  static constexpr milliseconds kLeastRetryAfter{200};
-  static constexpr milliseconds kMostRetryAfter{5000};
+  static constexpr std::chrono::duration<double> kMaxDebt{2.0};
+  static constexpr milliseconds kMinRetryAfter{200};
+  static constexpr milliseconds kMaxRetryAfter{5000};
 
   struct id_hash {
     std::size_t operator()(organisation_id id) const {
@@ -237,21 +246,21 @@
     }
   };
 
-  struct book {
+  struct quota_account {
     std::string name;
     double rate = 0;   // Of the whole fleet, as configured.
     double burst = 0;  // Likewise.
     double level = 0;  // Of the bucket; refilled only where this daemon leads.
-    time_point level_at;
-    decayed_rate demand;     // Of the daemons in touch, where this one leads.
-    double told_demand = 0;  // Where it doesn't.
-    bool tight = false;      // It was told of.
-    decayed_rate own;        // Demand of this daemon.
+    time_point refilled_at;
+    decayed_rate demand;  // Of the daemons in touch, where this one leads.
+    double reported_demand = 0;  // Where it doesn't.
+    bool near_limit = false;     // It was told of.
+    decayed_rate local_demand;   // Demand of this daemon.
     // Not reported yet, and reported without an answer yet.
-    std::int64_t new_admitted = 0;
-    std::int64_t new_refused = 0;
-    std::int64_t sent_admitted = 0;
-    std::int64_t sent_refused = 0;
+    std::int64_t unreported_admitted = 0;
+    std::int64_t unreported_refused = 0;
+    std::int64_t unacknowledged_admitted = 0;
+    std::int64_t unacknowledged_refused = 0;
     // At this daemon, since the start.
     std::uint64_t admitted = 0;
     std::uint64_t refused = 0;
@@ -260,51 +269,56 @@
 
   struct child_state {
     std::uint32_t daemons = 0;
-    time_point heard;
+    time_point reported_at;
   };
 
-  [[nodiscard]] bool HasWord(time_point now) const {
-    return told_at_ && now - *told_at_ <= options_.memory;
+  [[nodiscard]] bool HasValidQuota(time_point now) const {
+    return quota_received_at_ &&
+           now - *quota_received_at_ <= options_.report_validity;
   }
-  [[nodiscard]] bool Leads(time_point now) const {
-    return first_ || !HasWord(now);
+  [[nodiscard]] bool ActsAsRoot(time_point now) const {
+    return is_root_ || !HasValidQuota(now);
   }
 
   // Of a quota, what the daemons in touch may use.
-  [[nodiscard]] double Part(time_point now) const {
-    const double part =
-        static_cast<double>(InTouch(now)) / static_cast<double>(daemons_);
-    return std::min(1.0, part * (1 + options_.overage));
+  [[nodiscard]] double ReachableShare(time_point now) const {
+    const double share = static_cast<double>(ReachableDaemons(now)) /
+                         static_cast<double>(daemons_);
+    return std::min(1.0, share * (1 + options_.overage));
   }
 
-  void Refill(book* of, time_point now) {
-    const double part = Part(now);
-    const std::chrono::duration<double> passed =
-        std::max(duration(0), now - of->level_at);
-    of->level_at = now;
-    of->level = std::clamp(of->level + of->rate * part * passed.count(),
-                           -of->rate * kMostDebt.count(), of->burst * part);
+  void Refill(quota_account* account, time_point now) {
+    const double share = ReachableShare(now);
+    const std::chrono::duration<double> elapsed =
+        std::max(duration(0), now - account->refilled_at);
+    account->refilled_at = now;
+    account->level =
+        std::clamp(account->level + account->rate * share * elapsed.count(),
+                   -account->rate * kMaxDebt.count(), account->burst * share);
   }
 
-  void Count(book* of, std::int64_t admitted, std::int64_t refused) {
-    of->level -= static_cast<double>(admitted);
-    if (!first_) {
-      of->new_admitted += admitted;
-      of->new_refused += refused;
+  void Record(quota_account* account,
+              std::int64_t admitted,
+              std::int64_t refused) {
+    account->level -= static_cast<double>(admitted);
+    if (!is_root_) {
+      account->unreported_admitted += admitted;
+      account->unreported_refused += refused;
     }
   }
 
-  [[nodiscard]] quota_inputs InputsOf(const book& of, time_point now) const {
-    const double part = Part(now);
-    return {.rate = of.rate * part,
-            .burst = of.burst * part,
-            .level = of.level,
-            .demand = Leads(now) ? of.demand.Get(now)
-                      : of.tight ? of.told_demand
-                                 : 0,
-            .own_demand = of.own.Get(now),
-            .fleet_rate = of.rate,
-            .fleet_burst = of.burst,
+  [[nodiscard]] quota_inputs InputsOf(const quota_account& account,
+                                      time_point now) const {
+    const double share = ReachableShare(now);
+    return {.rate = account.rate * share,
+            .burst = account.burst * share,
+            .level = account.level,
+            .demand = ActsAsRoot(now)      ? account.demand.Get(now)
+                      : account.near_limit ? account.reported_demand
+                                           : 0,
+            .local_demand = account.local_demand.Get(now),
+            .fleet_rate = account.rate,
+            .fleet_burst = account.burst,
             .daemons = daemons_};
   }
 
@@ -313,21 +327,21 @@
     const double debt = std::max(0.0, -inputs.level);
     const double excess = std::max(0.0, inputs.demand - inputs.rate);
     const double wait = (debt + excess) / std::max(inputs.rate, 1e-3);
-    const auto limited =
-        std::min(wait, std::chrono::duration<double>(kMostRetryAfter).count());
-    return std::max(kLeastRetryAfter,
+    const auto bounded =
+        std::min(wait, std::chrono::duration<double>(kMaxRetryAfter).count());
+    return std::max(kMinRetryAfter,
                     std::chrono::duration_cast<milliseconds>(
-                        std::chrono::duration<double>(limited)));
+                        std::chrono::duration<double>(bounded)));
   }
 
   const quota_options options_;
-  std::unordered_map<organisation_id, book, id_hash> books_;
+  std::unordered_map<organisation_id, quota_account, id_hash> accounts_;
   std::map<child_id, child_state> children_;
-  std::uint32_t below_ = 1;  // Daemons that report here, and this one.
+  std::uint32_t subtree_size_ = 1;  // Daemons that report here, and this one.
   std::size_t daemons_ = 1;
-  bool first_ = true;
-  std::optional<time_point> told_at_;
-  std::uint32_t told_daemons_ = 0;
+  bool is_root_ = true;
+  std::optional<time_point> quota_received_at_;
+  std::uint32_t reported_reachable_ = 0;
 };
 
 }  // namespace pistachioweir
--- a/include/quota/quota_rule.h
+++ b/include/quota/quota_rule.h
@@ -21,7 +21,7 @@
   double level = 0;   // Of the burst, what is left; below zero if overspent.
   double demand = 0;  // Requests a second, refused ones included.
   // Of this daemon.
-  double own_demand = 0;
+  double local_demand = 0;
   // Of all daemons of the fleet, in touch or not.
   double fleet_rate = 0;
   double fleet_burst = 0;
@@ -42,10 +42,10 @@
 class token_bucket {
  public:
   [[nodiscard]] bool Take(double rate, double size, time_point now) {
-    const std::chrono::duration<double> passed = now - at_;
-    const bool first = at_ == time_point();
-    tokens_ = first ? 0 : std::min(size, tokens_ + rate * passed.count());
-    at_ = now;
+    const std::chrono::duration<double> elapsed = now - updated_at_;
+    const bool first = updated_at_ == time_point();
+    tokens_ = first ? 0 : std::min(size, tokens_ + rate * elapsed.count());
+    updated_at_ = now;
     if (tokens_ < 1) {
       return false;
     }
@@ -55,7 +55,7 @@
 
  private:
   double tokens_ = 0;
-  time_point at_;
+  time_point updated_at_;
 };
 
 // Each daemon has an equal part of the quota. Needs no word from others, and
@@ -80,10 +80,10 @@
   [[nodiscard]] bool Admit(const quota_inputs& inputs,
                            double /*random*/,
                            time_point now) {
-    const double demand = std::max(inputs.demand, inputs.own_demand);
-    const double part = demand > 0 ? inputs.own_demand / demand : 1;
-    return bucket_.Take(inputs.rate * part, std::max(1.0, inputs.level * part),
-                        now);
+    const double demand = std::max(inputs.demand, inputs.local_demand);
+    const double share = demand > 0 ? inputs.local_demand / demand : 1;
+    return bucket_.Take(inputs.rate * share,
+                        std::max(1.0, inputs.level * share), now);
   }
 
  private:
@@ -91,13 +91,13 @@
 };
 
 // All daemons admit the same part of their requests, so that together they use
-// the rate, and what is left of the burst within kSettling.
+// the rate, and what is left of the burst within kSettlingTime.
 class common_level_rule {
  public:
-  static constexpr std::chrono::duration<double> kSettling{1.0};
+  static constexpr std::chrono::duration<double> kSettlingTime{1.0};
   // With more debt than the rate pays in this time nothing is let in: how large
   // the demand is isn't known yet after a start.
-  static constexpr std::chrono::duration<double> kMostDebt{0.25};
+  static constexpr std::chrono::duration<double> kMaxDebt{0.25};
 
   [[nodiscard]] bool Admit(const quota_inputs& inputs,
                            double random,
@@ -106,10 +106,10 @@
     if (inputs.burst < 1) {
       return random < inputs.level;
     }
-    if (inputs.level < -inputs.rate * kMostDebt.count()) {
+    if (inputs.level < -inputs.rate * kMaxDebt.count()) {
       return false;
     }
-    const double allowed = inputs.rate + inputs.level / kSettling.count();
+    const double allowed = inputs.rate + inputs.level / kSettlingTime.count();
     return random * inputs.demand < allowed;
   }
 };
--- a/include/quota/usage_tree.h
+++ b/include/quota/usage_tree.h
@@ -20,8 +20,8 @@
   std::size_t fan_out = 64;
   // A daemon that doesn't answer for this long is passed over, and tried again
   // after the second time. Several reports fall into the first.
-  milliseconds silence{700};
-  milliseconds passed_over{3000};
+  milliseconds parent_timeout{700};
+  milliseconds parent_backoff{3000};
 };
 
 // A heap over the daemons in the order of a hash of their addresses. Each
@@ -33,7 +33,7 @@
       : options_(std::move(options)) {}
 
   void SetDaemons(std::vector<std::string> ips);
-  void OnAnswer(const std::string& ip, time_point now);
+  void OnResponse(const std::string& ip, time_point now);
 
   // Nothing for the first daemon that is in reach. Call several times within
   // `silence`.
@@ -45,12 +45,12 @@
   [[nodiscard]] std::optional<std::string> Choose(time_point now) const;
 
   const usage_tree_options options_;
-  std::vector<std::string> earlier_;  // In the order, before this daemon.
+  std::vector<std::string> predecessors_;  // In the order, before this daemon.
   std::size_t daemons_ = 1;
-  std::map<std::string, time_point> passed_over_;  // Since when.
+  std::map<std::string, time_point> unresponsive_;  // Since when.
   std::optional<std::string> parent_;
-  time_point heard_;  // From the parent, or since it was chosen.
-  time_point asked_;  // The last call of Parent().
+  time_point last_response_at_;  // From the parent, or since it was chosen.
+  time_point last_call_at_;      // The last call of Parent().
 };
 
 }  // namespace pistachioweir
--- a/src/forward/executor.cc
+++ b/src/forward/executor.cc
@@ -100,7 +100,8 @@
 
 suspects_frame executor::ImportSuspects(const suspects_frame& told) {
   const time_point now = monotonic_clock::now();
-  suspects_frame reply{.cleared = suspects_.Innocent(told.entries, now)};
+  suspects_frame reply{.cleared =
+                           suspects_.RecentlyCompleted(told.entries, now)};
   const suspects_frame news{.entries = suspects_.Import(told.entries, now),
                             .cleared = suspects_.OnCleared(told.cleared, now)};
   LogEvent(
@@ -111,7 +112,7 @@
        {.name = "cleared", .value = std::to_string(told.cleared.size())},
        {.name = "cleared_news", .value = std::to_string(news.cleared.size())}});
   if (!news.empty() && on_suspects_) {
-    on_suspects_(news, suspects_source::kOtherDaemon);
+    on_suspects_(news, suspects_source::kRemote);
   }
   return reply;
 }
@@ -130,19 +131,20 @@
   LogEvent("suspect_cleared", {{.name = "why", .value = "it has completed"},
                                {.name = "request", .value = request_id}});
   if (on_suspects_) {
-    on_suspects_({.cleared = {request}}, suspects_source::kHere);
+    on_suspects_({.cleared = {request}}, suspects_source::kLocal);
   }
 }
 
 std::vector<quarantine_entry> executor::KnownSuspects() const {
-  return suspects_.Known(monotonic_clock::now());
+  return suspects_.Snapshot(monotonic_clock::now());
 }
 
 bool executor::IsQuarantined(const std::string& route,
                              const relayed_request& request,
                              time_point now) const {
-  return !suspects_.empty() && suspects_.Refused(FingerprintOf(route, request),
-                                                 now) > milliseconds(0);
+  return !suspects_.empty() &&
+         suspects_.RemainingQuarantine(FingerprintOf(route, request), now) >
+             milliseconds(0);
 }
 
 void executor::NoteCompleted(const std::string& route,
@@ -156,14 +158,14 @@
 }
 
 void executor::TellTargetDied(time_point now) {
-  std::vector<quarantine_entry> told = suspects_.OnDied(now);
+  std::vector<quarantine_entry> told = suspects_.OnTargetCrash(now);
   if (told.empty()) {
     return;
   }
   LogWarning("target_crashed",
              {{.name = "suspects", .value = std::to_string(told.size())}});
   if (on_suspects_) {
-    on_suspects_({.entries = std::move(told)}, suspects_source::kHere);
+    on_suspects_({.entries = std::move(told)}, suspects_source::kLocal);
   }
 }
 
@@ -228,7 +230,8 @@
   if (TargetLeft(now)) {
     return reason::kWrongTarget;
   }
-  if (suspects_.Refused(served.fingerprint, now) > milliseconds(0)) {
+  if (suspects_.RemainingQuarantine(served.fingerprint, now) >
+      milliseconds(0)) {
     return reason::kQuarantined;
   }
   kind_state& kind = by_kind_[served.kind];
@@ -375,7 +378,7 @@
       TellCleared(served.fingerprint, served.call.request_id);
     }
   } else if (result.end == run_end::kLost && result.cut) {
-    suspects_.OnCut(served.fingerprint, served.started, now);
+    suspects_.OnInterrupted(served.fingerprint, served.started, now);
   }
 }
 
--- a/src/forward/forward_daemon.h
+++ b/src/forward/forward_daemon.h
@@ -29,7 +29,7 @@
 #include "include/forward/service_view.h"
 #include "include/forward/view_changes.h"
 #include "include/forward/view_state.h"
-#include "include/quarantine/suspect_spread.h"
+#include "include/quarantine/suspect_fanout.h"
 #include "src/base/stop_signals.h"
 #include "src/forward/caller_server.h"
 #include "src/forward/executor.h"
@@ -177,7 +177,7 @@
     ReleaseStopSignals();
     executor_.OnSuspects(
         [this](const suspects_frame& told, suspects_source source) {
-          suspects_.Tell(told, source);
+          suspects_.Publish(told, source);
         });
     executor_.SetViewState([this] { return views_.state(); },
                            [this] { return sharing_.age(); },
@@ -239,7 +239,7 @@
         .on_proof = [this](const freshness_proof& proof,
                            boot_time asked) { sharing_.OnProof(proof, asked); },
         .admit = [this](organisation_id id) { return quotas_.Admit(id); },
-        .give_back = [this](organisation_id id) { quotas_.GiveBack(id); },
+        .give_back = [this](organisation_id id) { quotas_.Refund(id); },
         .on_quota =
             [this](const std::string& ip, const quota_frame& quota) {
               quotas_.OnQuota(ip, quota);
@@ -331,8 +331,8 @@
   }
 
   [[nodiscard]] quota_page PageQuotas() const {
-    quota_page page{.in_touch =
-                        quotas_.state().InTouch(monotonic_clock::now())};
+    quota_page page{
+        .in_touch = quotas_.state().ReachableDaemons(monotonic_clock::now())};
     for (const auto& each : quotas_.state().Refused()) {
       page.refused.push_back({.organisation = std::string(each.name),
                               .admitted = each.admitted,
@@ -488,7 +488,7 @@
   void SendSuspects(const suspects_frame& told, std::size_t most) {
     std::set<incarnation_id> connected = origin_.linked();
     connected.merge(peers_.senders());
-    const std::vector<incarnation_id> some = SomeAtRandom(
+    const std::vector<incarnation_id> some = RandomSample(
         std::vector<incarnation_id>(connected.begin(), connected.end()), most,
         RandomBits64);
     std::set<incarnation_id> to(some.begin(), some.end());
--- a/src/forward/origin.h
+++ b/src/forward/origin.h
@@ -217,7 +217,7 @@
 
   [[nodiscard]] bool FindRoute(placed_call& call, reason* why) const;
   // Who holds the caller's key, by the view in use.
-  [[nodiscard]] key_answer CheckKeyOf(const placed_call& call) const;
+  [[nodiscard]] key_check_result CheckKeyOf(const placed_call& call) const;
   // Names the organisation, or ends the call. False if it has ended.
   bool Identify(call_id id);
   void CountRefusal(reason why);
--- a/src/forward/origin_keys.cc
+++ b/src/forward/origin_keys.cc
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-key_answer origin::CheckKeyOf(const placed_call& call) const {
+key_check_result origin::CheckKeyOf(const placed_call& call) const {
   return CheckKey(
       {.organisations = view_->config->organisations.get(),
        .is_public = call.matched->is_public,
@@ -36,12 +36,12 @@
 
 bool origin::Identify(call_id id) {
   placed_call& call = *calls_.at(id);
-  const key_answer key = CheckKeyOf(call);
+  const key_check_result key = CheckKeyOf(call);
   const reason refusal = RefusalOf(key.verdict);
   if (refusal == reason::kNone) {
     const precedence& ranks = view_->config->ranks;
     call.rank = ranks.RankOf(key.holder, *call.matched);
-    call.ahead = ranks.IsAhead(key.holder);
+    call.ahead = ranks.TakesPrecedence(key.holder);
     call.organisation = key.holder != nullptr ? key.holder->name : "";
     call.holder =
         key.holder != nullptr ? std::optional(key.holder->id) : std::nullopt;
--- a/src/forward/origin_links.cc
+++ b/src/forward/origin_links.cc
@@ -10,7 +10,7 @@
 
 #include "include/base/log.h"
 #include "include/base/random_bits.h"
-#include "include/quarantine/suspect_spread.h"
+#include "include/quarantine/suspect_fanout.h"
 #include "src/forward/executor.h"
 #include "src/forward/origin.h"
 
@@ -144,7 +144,7 @@
 
 // A link tells what is known as soon as it is there.
 void origin::TellFurtherDaemons() {
-  for (const std::string& ip : FurtherDaemons(Unlinked(), RandomBits64)) {
+  for (const std::string& ip : ChooseUnconnected(Unlinked(), RandomBits64)) {
     LinkTo(ip)->Probe();
   }
 }
--- a/src/forward/quota_sharing.cc
+++ b/src/forward/quota_sharing.cc
@@ -13,13 +13,13 @@
 // How old the news of a surge may get at each level of the tree.
 constexpr milliseconds kReportInterval{250};
 // An answer that is not here after this time is lost.
-constexpr milliseconds kAnswerTime{600};
+constexpr milliseconds kResponseTimeout{600};
 // Of the excess that the operator allows, what parts of the fleet that can't
 // reach each other use together; the rest is for news that is on its way.
-constexpr double kOverageForParts = 0.5;
+constexpr double kPartitionOverageFraction = 0.5;
 
 // From 0 up to 1.
-double RandomPart() {
+double RandomFraction() {
   constexpr double kRange = 4294967296.0;
   return static_cast<double>(RandomBits32()) / kRange;
 }
@@ -31,7 +31,7 @@
                              sender send)
     : timer_(context),
       send_(std::move(send)),
-      ledger_({.overage = options.overage * kOverageForParts}),
+      ledger_({.overage = options.overage * kPartitionOverageFraction}),
       tree_({.self = options.self}) {}
 
 void quota_sharing::Stop() {
@@ -56,28 +56,29 @@
 }
 
 quota_decision quota_sharing::Admit(organisation_id id) {
-  return ledger_.Admit(id, RandomPart(), monotonic_clock::now());
+  return ledger_.Admit(id, RandomFraction(), monotonic_clock::now());
 }
 
 void quota_sharing::Report() {
   const time_point now = monotonic_clock::now();
   std::optional<std::string> parent = tree_.Parent(now);
   if (parent != parent_) {
-    LogEvent(
-        "quota_reports",
-        {{.name = "to", .value = parent.value_or("nobody")},
-         {.name = "before", .value = parent_.value_or("nobody")},
-         {.name = "in_touch", .value = std::to_string(ledger_.InTouch(now))},
-         {.name = "daemons", .value = std::to_string(tree_.daemons())}});
+    LogEvent("quota_reports",
+             {{.name = "to", .value = parent.value_or("nobody")},
+              {.name = "before", .value = parent_.value_or("nobody")},
+              {.name = "in_touch",
+               .value = std::to_string(ledger_.ReachableDaemons(now))},
+              {.name = "daemons", .value = std::to_string(tree_.daemons())}});
     parent_ = std::move(parent);
-    asked_.reset();
+    report_sent_at_.reset();
   }
-  ledger_.SetFirst(!parent_);
+  ledger_.SetRoot(!parent_);
   ledger_.Tick(now);
   // While an answer is out, what a further report told would be counted twice.
-  const bool waits = asked_ && now - *asked_ < kAnswerTime;
-  if (parent_ && !waits) {
-    asked_ = now;
+  const bool awaiting_response =
+      report_sent_at_ && now - *report_sent_at_ < kResponseTimeout;
+  if (parent_ && !awaiting_response) {
+    report_sent_at_ = now;
     send_(*parent_,
           {.number = ++last_number_, .report = ledger_.TakeReport(now)});
   }
@@ -104,9 +105,9 @@
   if (ip != parent_ || quota.number != last_number_) {
     return;  // Of another report than the last; that one told everything.
   }
-  asked_.reset();
+  report_sent_at_.reset();
   const time_point now = monotonic_clock::now();
-  tree_.OnAnswer(ip, now);
+  tree_.OnResponse(ip, now);
   ledger_.OnQuota(quota.report, now);
 }
 
--- a/src/forward/quota_sharing.h
+++ b/src/forward/quota_sharing.h
@@ -41,7 +41,7 @@
   // A view has come into use.
   void OnView(const service_view& view);
   [[nodiscard]] quota_decision Admit(organisation_id id);
-  void GiveBack(organisation_id id) { ledger_.GiveBack(id); }
+  void Refund(organisation_id id) { ledger_.Refund(id); }
   // A daemon reported to this one.
   [[nodiscard]] quota_report OnUsage(incarnation_id sender,
                                      const usage_report& report);
@@ -60,7 +60,8 @@
   usage_tree tree_;
   std::optional<std::string> parent_;
   std::uint64_t last_number_ = 0;
-  std::optional<time_point> asked_;  // The last report, if it has no answer.
+  std::optional<time_point>
+      report_sent_at_;  // The last report, if it has no answer.
   bool reporting_ = false;
 };
 
--- a/src/forward/suspect_sharing.cc
+++ b/src/forward/suspect_sharing.cc
@@ -9,14 +9,14 @@
 namespace {
 
 // How long what is cleared waits for more.
-constexpr milliseconds kClearedDelay{100};
+constexpr milliseconds kClearedBatchDelay{100};
 // Requests in one frame, which is read at one go.
-constexpr std::size_t kMostCleared = 128;
+constexpr std::size_t kMaxClearedPerFrame = 128;
 
-constexpr std::size_t MostOf(suspects_source source) {
-  return source == suspects_source::kHere
+constexpr std::size_t MaxPeers(suspects_source source) {
+  return source == suspects_source::kLocal
              ? std::numeric_limits<std::size_t>::max()
-             : kPassedOnTo;
+             : kForwardFanout;
 }
 
 }  // namespace
@@ -24,14 +24,15 @@
 suspect_sharing::suspect_sharing(boost::asio::io_context& context, sender send)
     : timer_(context), send_(std::move(send)) {}
 
-void suspect_sharing::Tell(const suspects_frame& told, suspects_source source) {
-  if (!told.entries.empty()) {
-    send_({.entries = told.entries}, MostOf(source));
+void suspect_sharing::Publish(const suspects_frame& frame,
+                              suspects_source source) {
+  if (!frame.entries.empty()) {
+    send_({.entries = frame.entries}, MaxPeers(source));
   }
-  auto& waiting =
-      source == suspects_source::kHere ? cleared_here_ : cleared_elsewhere_;
-  waiting.insert(waiting.end(), told.cleared.begin(), told.cleared.end());
-  if (!told.cleared.empty()) {
+  auto& pending =
+      source == suspects_source::kLocal ? cleared_locally_ : cleared_remotely_;
+  pending.insert(pending.end(), frame.cleared.begin(), frame.cleared.end());
+  if (!frame.cleared.empty()) {
     Arm();
   }
 }
@@ -44,27 +45,27 @@
   if (std::exchange(armed_, true)) {
     return;
   }
-  timer_.expires_after(kClearedDelay);
+  timer_.expires_after(kClearedBatchDelay);
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error) {
       armed_ = false;
-      TellCleared();
+      PublishCleared();
     }
   });
 }
 
-void suspect_sharing::TellCleared() {
+void suspect_sharing::PublishCleared() {
   for (const auto source :
-       {suspects_source::kHere, suspects_source::kOtherDaemon}) {
-    auto& waiting =
-        source == suspects_source::kHere ? cleared_here_ : cleared_elsewhere_;
-    const std::vector<request_fingerprint> cleared = std::exchange(waiting, {});
-    for (std::size_t i = 0; i < cleared.size(); i += kMostCleared) {
-      const std::size_t end = std::min(cleared.size(), i + kMostCleared);
-      suspects_frame told;
-      told.cleared.assign(cleared.begin() + static_cast<std::ptrdiff_t>(i),
-                          cleared.begin() + static_cast<std::ptrdiff_t>(end));
-      send_(told, MostOf(source));
+       {suspects_source::kLocal, suspects_source::kRemote}) {
+    auto& pending = source == suspects_source::kLocal ? cleared_locally_
+                                                      : cleared_remotely_;
+    const std::vector<request_fingerprint> cleared = std::exchange(pending, {});
+    for (std::size_t i = 0; i < cleared.size(); i += kMaxClearedPerFrame) {
+      const std::size_t end = std::min(cleared.size(), i + kMaxClearedPerFrame);
+      suspects_frame frame;
+      frame.cleared.assign(cleared.begin() + static_cast<std::ptrdiff_t>(i),
+                           cleared.begin() + static_cast<std::ptrdiff_t>(end));
+      send_(frame, MaxPeers(source));
     }
   }
 }
--- a/src/forward/suspect_sharing.h
+++ b/src/forward/suspect_sharing.h
@@ -19,36 +19,36 @@
 namespace pistachioweir {
 
 // Who found out what is told.
-enum class suspects_source : std::uint8_t { kHere, kOtherDaemon };
+enum class suspects_source : std::uint8_t { kLocal, kRemote };
 
 // Daemons that each news is passed on to. Whoever has found it out tells all
 // that are connected; passing it on is for those that aren't, and if all told
 // all, each daemon would hear everything once from every other one.
-inline constexpr std::size_t kPassedOnTo = 10;
+inline constexpr std::size_t kForwardFanout = 10;
 
 class suspect_sharing {
  public:
   // Sends to daemons that are connected: to all, or to `most` of them at
   // random.
   using sender =
-      std::function<void(const suspects_frame& told, std::size_t most)>;
+      std::function<void(const suspects_frame& frame, std::size_t max_peers)>;
 
   suspect_sharing(boost::asio::io_context& context, sender send);
 
   // Suspects are told at once, for they may crash the next target. What is
   // cleared waits for more of it: each crash has many suspects, nearly all of
   // which complete within moments.
-  void Tell(const suspects_frame& told, suspects_source source);
+  void Publish(const suspects_frame& frame, suspects_source source);
   void Stop();
 
  private:
   void Arm();
-  void TellCleared();
+  void PublishCleared();
 
   boost::asio::steady_timer timer_;
   const sender send_;
-  std::vector<request_fingerprint> cleared_here_;
-  std::vector<request_fingerprint> cleared_elsewhere_;
+  std::vector<request_fingerprint> cleared_locally_;
+  std::vector<request_fingerprint> cleared_remotely_;
   bool armed_ = false;
 };
 
--- a/src/organisation/organisation_table.cc
+++ b/src/organisation/organisation_table.cc
@@ -27,7 +27,7 @@
   return secret;
 }
 
-bool IsAmount(double value) {
+bool IsNonNegative(double value) {
   return std::isfinite(value) && value >= 0;
 }
 
@@ -65,16 +65,16 @@
                  added.name + "\" is empty or another one's";
       return std::nullopt;
     }
-    if (!IsAmount(added.rate) || !IsAmount(added.burst)) {
+    if (!IsNonNegative(added.rate) || !IsNonNegative(added.burst)) {
       *problem = "organisation " + added.name + ": negative rate or burst";
       return std::nullopt;
     }
     for (const std::string& key : added.api_keys) {
-      const auto [known, inserted] = table.by_key_.emplace(key, i);
-      if (key.empty() || (!inserted && known->second != i)) {
+      const auto [existing, inserted] = table.by_key_.emplace(key, i);
+      if (key.empty() || (!inserted && existing->second != i)) {
         *problem = "organisation " + added.name +
                    ": a key is empty, or is also held by " +
-                   table.organisations_[known->second].name;
+                   table.organisations_[existing->second].name;
         return std::nullopt;
       }
     }
--- a/src/peer/peer_frame.cc
+++ b/src/peer/peer_frame.cc
@@ -21,7 +21,7 @@
 // Suspects of one frame; more are of no use, see quarantine_options.
 constexpr std::uint32_t kMaxSuspects = 1024;
 constexpr std::uint32_t kFieldsPerSuspect =
-    3 + quarantine_options::kCrashesAmongOthers;
+    3 + quarantine_options::kCrashThresholdWhenUnstable;
 
 load_report ReadLoad(msgpack_reader& reader) {
   load_report load;
--- a/src/quarantine/crash_suspects.cc
+++ b/src/quarantine/crash_suspects.cc
@@ -7,124 +7,130 @@
 
 namespace pistachioweir {
 
-void crash_suspects::OnCut(const request_fingerprint& request,
-                           time_point began,
-                           time_point now) {
-  std::erase_if(
-      cut_, [now](const cut_run& each) { return now - each.cut > kCutMemory; });
-  cut_.push_back({.request = request, .began = began, .cut = now});
+void crash_suspects::OnInterrupted(const request_fingerprint& request,
+                                   time_point started,
+                                   time_point now) {
+  std::erase_if(interrupted_, [now](const interrupted_run& each) {
+    return now - each.interrupted_at > kInterruptedRunRetention;
+  });
+  interrupted_.push_back(
+      {.request = request, .started = started, .interrupted_at = now});
 }
 
 bool crash_suspects::OnAnswered(const request_fingerprint& request,
-                                time_point began,
+                                time_point started,
                                 time_point now) {
-  std::erase_if(cut_,
-                [began](const cut_run& each) { return each.cut < began; });
+  std::erase_if(interrupted_, [started](const interrupted_run& each) {
+    return each.interrupted_at < started;
+  });
   return OnCompleted(request, now);
 }
 
 bool crash_suspects::OnCompleted(const request_fingerprint& request,
                                  time_point now) {
-  completed_[request.low % kCompletedPlaces] = {.request = request, .at = now};
+  completed_[request.low % kCompletedSlots] = {.request = request, .at = now};
   return quarantine_.Clear(request);
 }
 
 std::vector<request_fingerprint> crash_suspects::OnCleared(
     const std::vector<request_fingerprint>& requests,
     time_point now) {
-  std::vector<request_fingerprint> news;
+  std::vector<request_fingerprint> updates;
   for (const request_fingerprint& request : requests) {
     if (OnCompleted(request, now)) {
-      news.push_back(request);
+      updates.push_back(request);
     }
   }
-  return news;
+  return updates;
 }
 
-std::vector<request_fingerprint> crash_suspects::Innocent(
+std::vector<request_fingerprint> crash_suspects::RecentlyCompleted(
     const std::vector<quarantine_entry>& entries,
     time_point now) const {
-  std::vector<request_fingerprint> innocent;
+  std::vector<request_fingerprint> completed;
   for (const quarantine_entry& entry : entries) {
-    if (HasCompletedLately(entry.fingerprint, now)) {
-      innocent.push_back(entry.fingerprint);
+    if (HasCompletedRecently(entry.fingerprint, now)) {
+      completed.push_back(entry.fingerprint);
     }
   }
-  return innocent;
+  return completed;
 }
 
-bool crash_suspects::HasCompletedLately(const request_fingerprint& request,
-                                        time_point now) const {
-  const completed_request& known = completed_[request.low % kCompletedPlaces];
-  return known.request == request && now - known.at <= kCompletedMemory;
+bool crash_suspects::HasCompletedRecently(const request_fingerprint& request,
+                                          time_point now) const {
+  const completed_request& known = completed_[request.low % kCompletedSlots];
+  return known.request == request && now - known.at <= kCompletionRetention;
 }
 
-bool crash_suspects::IsSuspect(const cut_run& run, time_point now) const {
-  return now - run.cut <= kCutMemory && !HasCompletedLately(run.request, now) &&
-         (run.cut - run.began <= kBegins ||
-          !quarantine_.CrashesAmongOthers(run.request, now));
+bool crash_suspects::IsSuspect(const interrupted_run& run,
+                               time_point now) const {
+  return now - run.interrupted_at <= kInterruptedRunRetention &&
+         !HasCompletedRecently(run.request, now) &&
+         (run.interrupted_at - run.started <= kStartWindow ||
+          !quarantine_.HasManyUnrelatedCrashes(run.request, now));
 }
 
-std::vector<quarantine_entry> crash_suspects::OnDied(time_point now) {
-  std::vector<cut_run> cut = std::exchange(cut_, {});
-  std::erase_if(cut,
-                [&](const cut_run& each) { return !IsSuspect(each, now); });
-  if (cut.empty()) {
+std::vector<quarantine_entry> crash_suspects::OnTargetCrash(time_point now) {
+  std::vector<interrupted_run> interrupted = std::exchange(interrupted_, {});
+  std::erase_if(interrupted, [&](const interrupted_run& each) {
+    return !IsSuspect(each, now);
+  });
+  if (interrupted.empty()) {
     return {};
   }
   ++crashes_;
   const crash_id crash = CrashIdOf(static_cast<std::uint64_t>(self_), crashes_);
-  std::ranges::sort(cut, std::greater<>(), &cut_run::began);
-  std::vector<quarantine_entry> told;
-  for (const cut_run& each : cut) {
+  std::ranges::sort(interrupted, std::greater<>(), &interrupted_run::started);
+  std::vector<quarantine_entry> published;
+  for (const interrupted_run& each : interrupted) {
     quarantine_.OnCrash(each.request, crash, now);
-    told_.Add(each.request, crash, now);
-    if (told.size() < kMostTold) {
-      told.push_back({.fingerprint = each.request,
-                      .crashes = {crash},
-                      .remaining = quarantine_options{}.period});
+    dedup_cache_.Add(each.request, crash, now);
+    if (published.size() < kMaxPublishedSuspects) {
+      published.push_back({.fingerprint = each.request,
+                           .crashes = {crash},
+                           .remaining = quarantine_options{}.period});
     }
   }
-  return told;
+  return published;
 }
 
 std::vector<quarantine_entry> crash_suspects::Import(
     const std::vector<quarantine_entry>& entries,
     time_point now) {
-  std::vector<quarantine_entry> news;
+  std::vector<quarantine_entry> updates;
   for (const quarantine_entry& entry : entries) {
-    if (HasCompletedLately(entry.fingerprint, now)) {
+    if (HasCompletedRecently(entry.fingerprint, now)) {
       continue;
     }
-    if (const auto first = ImportUntold(entry, now)) {
-      news.push_back(*first);
+    if (const auto forwarded = ImportUnseen(entry, now)) {
+      updates.push_back(*forwarded);
     }
   }
-  return news;
+  return updates;
 }
 
-std::optional<quarantine_entry> crash_suspects::ImportUntold(
+std::optional<quarantine_entry> crash_suspects::ImportUnseen(
     const quarantine_entry& entry,
     time_point now) {
-  quarantine_entry untold = entry;
-  quarantine_entry first = entry;
-  untold.crashes = first.crashes = {};
-  std::size_t untold_count = 0;
-  std::size_t first_count = 0;
+  quarantine_entry unseen = entry;
+  quarantine_entry forwarded = entry;
+  unseen.crashes = forwarded.crashes = {};
+  std::size_t unseen_count = 0;
+  std::size_t forwarded_count = 0;
   for (const crash_id crash : entry.crashes) {
     if (crash == crash_id{}) {
       continue;
     }
-    const told_verdict verdict = told_.Add(entry.fingerprint, crash, now);
-    if (verdict != told_verdict::kBefore) {
-      untold.crashes[untold_count++] = crash;
+    const dedup_result result = dedup_cache_.Add(entry.fingerprint, crash, now);
+    if (result != dedup_result::kDuplicate) {
+      unseen.crashes[unseen_count++] = crash;
     }
-    if (verdict == told_verdict::kFirst) {
-      first.crashes[first_count++] = crash;
+    if (result == dedup_result::kNew) {
+      forwarded.crashes[forwarded_count++] = crash;
     }
   }
-  const bool added = untold_count > 0 && quarantine_.Import(untold, now);
-  return added && first_count > 0 ? std::optional(first) : std::nullopt;
+  const bool added = unseen_count > 0 && quarantine_.Import(unseen, now);
+  return added && forwarded_count > 0 ? std::optional(forwarded) : std::nullopt;
 }
 
 }  // namespace pistachioweir
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -12,7 +12,7 @@
 // After an entry has ended it is remembered once more for its period:
 // otherwise a peer that still holds it would bring it back, and it would
 // travel between daemons for ever.
-constexpr int kForgetPeriods = 2;
+constexpr int kRetentionPeriods = 2;
 
 }  // namespace
 
@@ -28,29 +28,35 @@
 }
 
 bool quarantine::IsQuarantined(const state& entry, time_point now) const {
-  return HasCrashed(entry, IsAmongOthers(entry, now)
-                               ? quarantine_options::kCrashesAmongOthers
-                               : quarantine_options::kCrashes);
+  return HasCrashed(entry, ExceedsUnrelatedThreshold(entry, now)
+                               ? quarantine_options::kCrashThresholdWhenUnstable
+                               : quarantine_options::kCrashThreshold);
 }
 
-bool quarantine::IsAmongOthers(const state& entry, time_point now) const {
-  const auto others = std::ranges::count_if(seen_, [&](const seen_crash& seen) {
-    return seen.id != crash_id{} && now - seen.at < options_.period &&
-           std::ranges::find(entry.crashes, seen.id) == entry.crashes.end();
-  });
-  return static_cast<std::size_t>(others) >= quarantine_options::kManyOthers;
+bool quarantine::ExceedsUnrelatedThreshold(const state& entry,
+                                           time_point now) const {
+  const auto unrelated =
+      std::ranges::count_if(recent_crashes_, [&](const recent_crash& recent) {
+        return recent.id != crash_id{} && now - recent.at < options_.period &&
+               std::ranges::find(entry.crashes, recent.id) ==
+                   entry.crashes.end();
+      });
+  return static_cast<std::size_t>(unrelated) >=
+         quarantine_options::kUnrelatedCrashThreshold;
 }
 
-bool quarantine::CrashesAmongOthers(const request_fingerprint& request,
-                                    time_point now) const {
+bool quarantine::HasManyUnrelatedCrashes(const request_fingerprint& request,
+                                         time_point now) const {
   const auto found = entries_.find(request);
-  return IsAmongOthers(found == entries_.end() ? state{} : found->second, now);
+  return ExceedsUnrelatedThreshold(
+      found == entries_.end() ? state{} : found->second, now);
 }
 
-void quarantine::NoteCrash(crash_id crash, time_point now) {
-  if (std::ranges::find(seen_, crash, &seen_crash::id) == seen_.end()) {
-    seen_[next_seen_] = {.id = crash, .at = now};
-    next_seen_ = (next_seen_ + 1) % kSeenCrashes;
+void quarantine::RecordCrash(crash_id crash, time_point now) {
+  if (std::ranges::find(recent_crashes_, crash, &recent_crash::id) ==
+      recent_crashes_.end()) {
+    recent_crashes_[next_recent_crash_] = {.id = crash, .at = now};
+    next_recent_crash_ = (next_recent_crash_ + 1) % kMaxRecentCrashes;
   }
 }
 
@@ -67,18 +73,18 @@
 void quarantine::OnCrash(const request_fingerprint& request,
                          crash_id crash,
                          time_point now) {
-  NoteCrash(crash, now);
+  RecordCrash(crash, now);
   state& entry = FindOrAdd(request, now);
   if (AddCrash(entry, crash)) {
     entry.until = now + options_.period;
-    entry.forget = now + kForgetPeriods * options_.period;
+    entry.evict_at = now + kRetentionPeriods * options_.period;
   }
 }
 
 void quarantine::OnCompleted(const request_fingerprint& request) {
   const auto found = entries_.find(request);
   if (found != entries_.end() &&
-      !HasCrashed(found->second, quarantine_options::kCrashes)) {
+      !HasCrashed(found->second, quarantine_options::kCrashThreshold)) {
     entries_.erase(found);
   }
 }
@@ -102,18 +108,19 @@
   std::vector<quarantine_entry> exported;
   for (const auto& [fingerprint, entry] : entries_) {
     if (entry.until > now) {
-      quarantine_entry& told = exported.emplace_back(quarantine_entry{
+      quarantine_entry& copy = exported.emplace_back(quarantine_entry{
           .fingerprint = fingerprint,
           .remaining = std::chrono::ceil<milliseconds>(entry.until - now)});
-      std::copy_n(entry.crashes.begin(), told.crashes.size(),
-                  told.crashes.begin());
+      std::copy_n(entry.crashes.begin(), copy.crashes.size(),
+                  copy.crashes.begin());
     }
   }
-  const auto is_whole = [](const quarantine_entry& entry) {
-    return entry.crashes[quarantine_options::kCrashes - 1] != crash_id{};
+  const auto is_quarantined = [](const quarantine_entry& entry) {
+    return entry.crashes[quarantine_options::kCrashThreshold - 1] != crash_id{};
   };
   std::ranges::sort(exported, [&](const auto& a, const auto& b) {
-    return is_whole(a) != is_whole(b) ? is_whole(a) : a.remaining > b.remaining;
+    return is_quarantined(a) != is_quarantined(b) ? is_quarantined(a)
+                                                  : a.remaining > b.remaining;
   });
   exported.resize(std::min(max, exported.size()));
   return exported;
@@ -126,48 +133,52 @@
   if (remaining <= milliseconds(0)) {
     return false;
   }
-  state& known = FindOrAdd(entry.fingerprint, now);
+  state& local = FindOrAdd(entry.fingerprint, now);
   bool added = false;
   for (const crash_id crash : entry.crashes) {
     if (crash != crash_id{}) {
-      NoteCrash(crash, now);
-      added |= AddCrash(known, crash);
+      RecordCrash(crash, now);
+      added |= AddCrash(local, crash);
     }
   }
   if (added) {
-    known.until = std::max(known.until, now + remaining);
-    known.forget = now + kForgetPeriods * options_.period;
+    local.until = std::max(local.until, now + remaining);
+    local.evict_at = now + kRetentionPeriods * options_.period;
   }
   return added;
 }
 
 void quarantine::Expire(time_point now) {
-  std::erase_if(entries_,
-                [now](const auto& item) { return item.second.forget <= now; });
+  std::erase_if(entries_, [now](const auto& item) {
+    return item.second.evict_at <= now;
+  });
 }
 
 quarantine::state& quarantine::FindOrAdd(const request_fingerprint& request,
                                          time_point now) {
   const auto found = entries_.find(request);
   if (found != entries_.end()) {
-    if (found->second.forget <= now) {
+    if (found->second.evict_at <= now) {
       found->second = state{};
     }
     return found->second;
   }
   if (entries_.size() >= options_.max_entries) {
-    MakeRoom();
+    EvictOne();
   }
   return entries_[request];
 }
 
-void quarantine::MakeRoom() {
-  const auto less_worth = [](const auto& a, const auto& b) {
-    const bool a_holds = HasCrashed(a.second, quarantine_options::kCrashes);
-    const bool b_holds = HasCrashed(b.second, quarantine_options::kCrashes);
-    return a_holds != b_holds ? b_holds : a.second.until < b.second.until;
+void quarantine::EvictOne() {
+  const auto evict_before = [](const auto& a, const auto& b) {
+    const bool a_quarantined =
+        HasCrashed(a.second, quarantine_options::kCrashThreshold);
+    const bool b_quarantined =
+        HasCrashed(b.second, quarantine_options::kCrashThreshold);
+    return a_quarantined != b_quarantined ? b_quarantined
+                                          : a.second.until < b.second.until;
   };
-  entries_.erase(std::ranges::min_element(entries_, less_worth));
+  entries_.erase(std::ranges::min_element(entries_, evict_before));
 }
 
 }  // namespace pistachioweir
--- a/tests/organisation_table_test.cc
+++ b/tests/organisation_table_test.cc
@@ -35,7 +35,7 @@
 }
 
 // Guards against a request that is counted for the wrong one of two holders.
-TEST(OrganisationTableTest, ASharedKeyIsRefusedWithoutTellingIt) {
+TEST(OrganisationTableTest, ASharedKeyIsRefusedWithoutPrintingIt) {
   std::vector<organisation> shared = TwoOrganisations();
   shared[1].api_keys = {"key-3", "key-1"};
   std::string problem;
@@ -45,7 +45,7 @@
   EXPECT_EQ(problem.find("key-1"), problem.npos) << problem;
 }
 
-TEST(OrganisationTableTest, RefusesWhatMakesNoSense) {
+TEST(OrganisationTableTest, RefusesInvalidOrganisations) {
   const std::vector<organisation> broken = {
       {.name = ""},
       {.name = "south"},
@@ -63,10 +63,10 @@
 }
 
 std::uint32_t RankOf(const precedence& ranks,
-                     std::optional<std::uint32_t> of,
-                     std::uint32_t taken) {
-  const organisation holder{.rank = of};
-  return ranks.RankOf(&holder, {.rank = taken});
+                     std::optional<std::uint32_t> organisation_rank,
+                     std::uint32_t route_rank) {
+  const organisation holder{.rank = organisation_rank};
+  return ranks.RankOf(&holder, {.rank = route_rank});
 }
 
 TEST(PrecedenceTest, TheOrganisationComesFirstAndThenTheRoute) {
@@ -92,12 +92,12 @@
   EXPECT_EQ(ranks.RankOf(nullptr, add("call", 1, true)), 1U);
   const organisation north{.rank = 0};
   const organisation south{.rank = 1};
-  EXPECT_TRUE(ranks.IsAhead(&north));
-  EXPECT_FALSE(ranks.IsAhead(&south));
+  EXPECT_TRUE(ranks.TakesPrecedence(&north));
+  EXPECT_FALSE(ranks.TakesPrecedence(&south));
   EXPECT_EQ(RankOf(precedence(), 1, 2), 2U);
 }
 
-TEST(KeyCheckTest, ARouteSaysWhetherAKeyIsNeeded) {
+TEST(KeyCheckTest, ARouteDeterminesWhetherAKeyIsNeeded) {
   const organisation_table table = Table();
   const auto check = [&](bool is_public, const char* key) {
     return CheckKey(
@@ -115,7 +115,7 @@
 
 // Guards against a withdrawn key that a daemon goes on taking while it can't
 // learn of the withdrawal.
-TEST(KeyCheckTest, AnOldConfigurationJudgesNoKeys) {
+TEST(KeyCheckTest, AnOutdatedConfigurationConfirmsNoKeys) {
   const organisation_table table = Table();
   const auto check = [&](std::optional<milliseconds> age, bool is_public) {
     return CheckKey({.organisations = &table,
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -62,7 +62,7 @@
 
 // Two daemons tell each other the same entry for ever. If each telling moved
 // its end, the request would stay refused after the bug is long mended.
-TEST(QuarantineTest, GossipDoesNotProlongAnEntry) {
+TEST(QuarantineTest, RepeatedImportsDoNotProlongAnEntry) {
   quarantine one({.period = milliseconds(1000)});
   quarantine other({.period = milliseconds(1000)});
   one.OnCrash(kRequest, crash_id{1}, kStart);
@@ -83,7 +83,7 @@
   EXPECT_EQ(other.Remaining(kRequest, end), milliseconds(0));
 }
 
-TEST(QuarantineTest, TheTableIsBoundedAndKeepsWhatIsInForce) {
+TEST(QuarantineTest, TheTableIsBoundedAndKeepsQuarantinedEntries) {
   quarantine table({.max_entries = 4});
   table.OnCrash(kRequest, crash_id{1}, kStart);
   table.OnCrash(kRequest, crash_id{2}, kStart);
--- a/tests/quota_ledger_test.cc
+++ b/tests/quota_ledger_test.cc
@@ -31,7 +31,7 @@
   }
 };
 
-TEST_P(quota_fleet_test, WithinItsQuotaAnOrganisationIsNotRefused) {
+TEST_P(quota_fleet_test, AnOrganisationWithinItsQuotaIsNotRefused) {
   for (const double rate : {20.0, 400.0}) {
     fleet all = Make(rate);
     all.Run(seconds(6), 0.5 * rate);
@@ -50,7 +50,7 @@
   EXPECT_LT(all.falsely_refused(), 0.005);
 }
 
-TEST_P(quota_fleet_test, ASurgeGetsItsQuotaAndNoMore) {
+TEST_P(quota_fleet_test, ASurgeIsLimitedToTheQuota) {
   fleet all = Make(200);
   all.Run(seconds(6), 120);
   all.Run(seconds(4), 1000);
@@ -62,7 +62,7 @@
 }
 
 // Guards against callers who are refused long after a surge is over.
-TEST_P(quota_fleet_test, BehindASurgeCallersAreServedWithinASecond) {
+TEST_P(quota_fleet_test, AfterASurgeCallersAreServedAgain) {
   fleet all = Make(200);
   all.Run(seconds(6), 120);
   all.Run(seconds(4), 1000);
@@ -74,7 +74,7 @@
 
 // Guards against parts of a fleet that can't reach each other and use the
 // whole quota each.
-TEST_P(quota_fleet_test, PartsOfTheFleetKeepTheQuotaTogether) {
+TEST_P(quota_fleet_test, PartitionsKeepTheQuotaTogether) {
   for (const bool one_by_one : {false, true}) {
     fleet all = Make(200);
     all.Run(seconds(6), 120);
@@ -90,7 +90,7 @@
 
 // Guards against a restart of all daemons, each of which has forgotten what was
 // spent and spends a burst anew.
-TEST_P(quota_fleet_test, ARestartOfAllBringsNoFreshBurst) {
+TEST_P(quota_fleet_test, ARestartOfAllGrantsNoNewBurst) {
   fleet all = Make(200);
   all.Run(seconds(6), 120);
   all.Run(seconds(3), 1000);
@@ -99,7 +99,7 @@
   EXPECT_LT(static_cast<double>(all.MostWithin(kWindow)), Allowed(200, 200));
 }
 
-TEST_P(quota_fleet_test, ALowerLimitBindsWithinAWindow) {
+TEST_P(quota_fleet_test, ALowerLimitTakesEffectWithinAWindow) {
   fleet all = Make(200);
   all.Run(seconds(6), 120);
   all.SetRate(30, 30);
@@ -114,7 +114,7 @@
                          quota_fleet_test,
                          testing::Values(10, 60, 300));
 
-TEST(QuotaLedgerTest, ARequestThatHasNotRunIsGivenBack) {
+TEST(QuotaLedgerTest, ARequestThatDidNotRunIsRefunded) {
   std::string problem;
   const auto table = *organisation_table::Make(
       {{.name = "north", .rate = 1, .burst = 5}}, &problem);
@@ -127,7 +127,7 @@
   for (int i = 0; i < 50; ++i) {
     if (ledger.Admit(north, 0.5, now).admitted) {
       ++admitted;
-      ledger.GiveBack(north);
+      ledger.Refund(north);
     }
   }
   EXPECT_GT(admitted, 5);
@@ -144,7 +144,7 @@
 }
 
 // Guards against daemons that report to each other in a ring.
-TEST(UsageTreeTest, EveryDaemonReportsToAnEarlierOneAndOneIsFirst) {
+TEST(UsageTreeTest, EveryDaemonReportsToAPredecessorAndOneIsRoot) {
   std::vector<std::string> ips;
   ips.reserve(300);
   for (int i = 0; i < 300; ++i) {
@@ -170,7 +170,7 @@
 }
 
 // Guards against a daemon that is gone and that others go on reporting to.
-TEST(UsageTreeTest, ASilentDaemonIsPassedOverForAWhile) {
+TEST(UsageTreeTest, AnUnresponsiveParentIsReplaced) {
   usage_tree tree({.self = "10.0.0.3"});
   tree.SetDaemons({"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5"});
   time_point now{seconds(100)};
@@ -183,7 +183,7 @@
   EXPECT_TRUE(!before || after != before);
 }
 
-TEST(QuotaFrameTest, FramesComeBackAsTheyWere) {
+TEST(QuotaFrameTest, FramesRoundTrip) {
   const usage_frame usage{.number = 7,
                           .report = {.daemons = 3,
                                      .entries = {{.id = organisation_id{9},
--- a/tests/suspect_order_test.cc
+++ b/tests/suspect_order_test.cc
@@ -24,11 +24,11 @@
 
 constexpr std::size_t kDaemons = 12;
 // Frames after which a test takes it that there is no end.
-constexpr std::size_t kMost = 100000;
+constexpr std::size_t kMaxFrames = 100000;
 // Likewise. All that end have fewer waiting at any time.
-constexpr std::size_t kMostWaiting = 100000;
-// As crash_suspects::kCompletedPlaces, which is private.
-constexpr std::size_t kPlaces = 4096;
+constexpr std::size_t kMaxPending = 100000;
+// As crash_suspects::kCompletedSlots, which is private.
+constexpr std::size_t kSlots = 4096;
 
 request_fingerprint Request(const std::string& path) {
   return Fingerprint(
@@ -36,28 +36,28 @@
 }
 
 // Different requests whose places are the same, as many as `count`.
-std::vector<request_fingerprint> OfOnePlace(std::size_t count) {
-  const std::size_t place = Request("/alike/0").low % kPlaces;
-  std::vector<request_fingerprint> found;
-  for (std::size_t i = 0; found.size() < count; ++i) {
+std::vector<request_fingerprint> InOneSlot(std::size_t count) {
+  const std::size_t slot = Request("/alike/0").low % kSlots;
+  std::vector<request_fingerprint> requests;
+  for (std::size_t i = 0; requests.size() < count; ++i) {
     const request_fingerprint each = Request("/alike/" + std::to_string(i));
-    if (each.low % kPlaces == place) {
-      found.push_back(each);
+    if (each.low % kSlots == slot) {
+      requests.push_back(each);
     }
   }
-  return found;
+  return requests;
 }
 
 // Different requests with a place each.
-std::vector<request_fingerprint> OfOwnPlaces(std::size_t count) {
-  std::map<std::size_t, request_fingerprint> found;
-  for (std::size_t i = 0; found.size() < count; ++i) {
+std::vector<request_fingerprint> InOwnSlots(std::size_t count) {
+  std::map<std::size_t, request_fingerprint> requests_by_slot;
+  for (std::size_t i = 0; requests_by_slot.size() < count; ++i) {
     const request_fingerprint each = Request("/own/" + std::to_string(i));
-    found.emplace(each.low % kPlaces, each);
+    requests_by_slot.emplace(each.low % kSlots, each);
   }
   std::vector<request_fingerprint> requests;
-  requests.reserve(found.size());
-  for (const auto& [place, request] : found) {
+  requests.reserve(requests_by_slot.size());
+  for (const auto& [slot, request] : requests_by_slot) {
     requests.push_back(request);
   }
   return requests;
@@ -71,16 +71,16 @@
 struct result {
   bool ended = false;
   std::size_t delivered = 0;
-  std::size_t news = 0;          // Frames passed on.
-  std::size_t most_waiting = 0;  // Frames on all connections at once.
+  std::size_t updates = 0;      // Frames passed on.
+  std::size_t max_pending = 0;  // Frames on all connections at once.
   // Frames delivered, by what they were to the receiver.
   std::map<std::string, std::size_t> kinds;
 };
 
 std::ostream& operator<<(std::ostream& out, const result& value) {
   out << (value.ended ? "ended" : "NOT ENDED") << " delivered "
-      << value.delivered << " passed on " << value.news << " most waiting "
-      << value.most_waiting;
+      << value.delivered << " passed on " << value.updates << " most waiting "
+      << value.max_pending;
   for (const auto& [kind, count] : value.kinds) {
     out << ", " << kind << " " << count;
   }
@@ -90,7 +90,7 @@
 // Daemons with `links` connections between each two of them.
 class fleet {
  public:
-  using chooser = std::function<std::size_t(std::size_t waiting)>;
+  using chooser = std::function<std::size_t(std::size_t pending)>;
 
   explicit fleet(std::size_t size, std::size_t links = 2) : links_(links) {
     for (std::size_t i = 0; i < size; ++i) {
@@ -101,26 +101,26 @@
 
   void Crash(std::size_t at, const std::vector<request_fingerprint>& requests) {
     for (const request_fingerprint& request : requests) {
-      daemons_[at].OnCut(request, now_ - milliseconds(10), now_);
+      daemons_[at].OnInterrupted(request, now_ - milliseconds(10), now_);
     }
-    Tell(at, {.entries = daemons_[at].OnDied(now_)});
+    Publish(at, {.entries = daemons_[at].OnTargetCrash(now_)});
   }
 
   void Complete(std::size_t at, const request_fingerprint& request) {
     if (daemons_[at].OnCompleted(request, now_)) {
-      Tell(at, {.cleared = {request}});
+      Publish(at, {.cleared = {request}});
     }
   }
 
   // Brings what waits on one connection; its answer goes back over the same.
   void Deliver(std::size_t connection) {
     std::deque<frame>& queue = connections_[connection];
-    const frame told = std::move(queue.front());
+    const frame received = std::move(queue.front());
     queue.pop_front();
     if (queue.empty()) {
       std::erase(busy_, connection);
     }
-    --waiting_;
+    --pending_;
     ++result_.delivered;
     now_ += std::chrono::microseconds(1);
     const std::size_t link = connection % links_;
@@ -128,27 +128,27 @@
     const std::size_t to = connection / links_ % daemons_.size();
     crash_suspects& daemon = daemons_[to];
     // In the order of executor::ImportSuspects().
-    frame reply{.cleared = daemon.Innocent(told.entries, now_)};
-    frame news{.entries = daemon.Import(told.entries, now_)};
-    news.cleared = daemon.OnCleared(told.cleared, now_);
-    ++result_.kinds[!news.entries.empty()    ? "news"
-                    : !news.cleared.empty()  ? "cleared_news"
-                    : !reply.cleared.empty() ? "innocent"
-                    : !told.entries.empty()  ? "known suspect"
-                                             : "known cleared"];
-    if (!news.entries.empty() || !news.cleared.empty()) {
-      ++result_.news;
-      Tell(to, news);
+    frame reply{.cleared = daemon.RecentlyCompleted(received.entries, now_)};
+    frame updates{.entries = daemon.Import(received.entries, now_)};
+    updates.cleared = daemon.OnCleared(received.cleared, now_);
+    ++result_.kinds[!updates.entries.empty()    ? "news"
+                    : !updates.cleared.empty()  ? "cleared_news"
+                    : !reply.cleared.empty()    ? "innocent"
+                    : !received.entries.empty() ? "known suspect"
+                                                : "known cleared"];
+    if (!updates.entries.empty() || !updates.cleared.empty()) {
+      ++result_.updates;
+      Publish(to, updates);
     }
     if (!reply.cleared.empty()) {
-      Put(to, from, link, std::move(reply));
+      Enqueue(to, from, link, std::move(reply));
     }
   }
 
   // Until nothing waits, or `most` frames were delivered.
-  result Run(std::size_t most, const chooser& choose) {
-    while (!busy_.empty() && result_.delivered < most &&
-           waiting_ < kMostWaiting) {
+  result Run(std::size_t max_frames, const chooser& choose) {
+    while (!busy_.empty() && result_.delivered < max_frames &&
+           pending_ < kMaxPending) {
       Deliver(busy_[choose(busy_.size())]);
     }
     result_.ended = busy_.empty();
@@ -159,7 +159,7 @@
   void DeliverFrom(std::size_t from, std::size_t to) {
     Deliver(Index(from, to, 0));
   }
-  [[nodiscard]] std::size_t WaitingFrom(std::size_t from,
+  [[nodiscard]] std::size_t PendingFrom(std::size_t from,
                                         std::size_t to) const {
     return connections_[Index(from, to, 0)].size();
   }
@@ -178,12 +178,12 @@
     }
   }
   // What one that connects tells of what it knew, on one connection.
-  void TellAnew(std::size_t from,
-                std::size_t to,
-                const std::vector<quarantine_entry>& known) {
-    Put(from, to, 0, {.entries = known});
+  void SendSnapshot(std::size_t from,
+                    std::size_t to,
+                    const std::vector<quarantine_entry>& known) {
+    Enqueue(from, to, 0, {.entries = known});
   }
-  [[nodiscard]] std::size_t waiting() const { return waiting_; }
+  [[nodiscard]] std::size_t pending() const { return pending_; }
   [[nodiscard]] const result& so_far() const { return result_; }
   [[nodiscard]] crash_suspects& at(std::size_t i) { return daemons_[i]; }
   [[nodiscard]] time_point now() const { return now_; }
@@ -198,21 +198,24 @@
     return (from * daemons_.size() + to) * links_ + link;
   }
 
-  void Put(std::size_t from, std::size_t to, std::size_t link, frame told) {
+  void Enqueue(std::size_t from,
+               std::size_t to,
+               std::size_t link,
+               frame update) {
     const std::size_t connection = Index(from, to, link);
     if (connections_[connection].empty() && !Paused(connection)) {
       busy_.push_back(connection);
     }
-    connections_[connection].push_back(std::move(told));
-    result_.most_waiting = std::max(result_.most_waiting, ++waiting_);
+    connections_[connection].push_back(std::move(update));
+    result_.max_pending = std::max(result_.max_pending, ++pending_);
   }
 
   // peers_.Tell() and origin_.TellSuspects(): all, the sender too.
-  void Tell(std::size_t from, const frame& told) {
+  void Publish(std::size_t from, const frame& update) {
     for (std::size_t link = 0; link < links_; ++link) {
       for (std::size_t to = 0; to < daemons_.size(); ++to) {
         if (to != from) {
-          Put(from, to, link, told);
+          Enqueue(from, to, link, update);
         }
       }
     }
@@ -222,7 +225,7 @@
   std::vector<crash_suspects> daemons_;
   std::vector<std::deque<frame>> connections_;
   std::vector<std::size_t> busy_;  // With something on them, oldest first.
-  std::size_t waiting_ = 0;
+  std::size_t pending_ = 0;
   std::size_t first_paused_ = SIZE_MAX;
   time_point now_{seconds(1000)};
   result result_;
@@ -233,12 +236,12 @@
 }
 // One connection at random: late copies on some.
 fleet::chooser AtRandom(std::uint32_t seed) {
-  return [random = std::mt19937(seed)](std::size_t waiting) mutable {
-    return random() % waiting;
+  return [random = std::mt19937(seed)](std::size_t pending) mutable {
+    return random() % pending;
   };
 }
 fleet::chooser Newest() {
-  return [](std::size_t waiting) { return waiting - 1; };
+  return [](std::size_t pending) { return pending - 1; };
 }
 
 // What a fleet of this size may take for `suspects` that are told once and
@@ -260,12 +263,12 @@
     all.Complete(at, request);
     at = at % (kDaemons - 1) + 1;
   }
-  return all.Run(kMost, choose);
+  return all.Run(kMaxFrames, choose);
 }
 
-TEST(suspect_order_test, SuspectsWithPlacesOfTheirOwnEnd) {
+TEST(suspect_order_test, SuspectsInOwnSlotsEnd) {
   for (const std::size_t between : {20U, 60U, 200U}) {
-    const auto requests = OfOwnPlaces(8);
+    const auto requests = InOwnSlots(8);
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       const result got = CrashAndComplete(requests, AtRandom(seed), between);
       EXPECT_TRUE(got.ended) << got;
@@ -280,9 +283,9 @@
   }
 }
 
-TEST(suspect_order_test, TwoSuspectsOfOnePlaceEnd) {
+TEST(suspect_order_test, TwoSuspectsInOneSlotEnd) {
   for (const std::size_t between : {20U, 60U, 200U}) {
-    const auto requests = OfOnePlace(2);
+    const auto requests = InOneSlot(2);
     for (std::uint32_t seed = 1; seed <= 5; ++seed) {
       const result got = CrashAndComplete(requests, AtRandom(seed), between);
       EXPECT_TRUE(got.ended) << "random " << seed << " " << between << got;
@@ -304,7 +307,7 @@
   for (std::size_t i = 0; i < crashes; ++i) {
     all.Crash(i, {Request("/sign/bad")});
   }
-  return all.Run(kMost, choose);
+  return all.Run(kMaxFrames, choose);
 }
 
 TEST(suspect_order_test, EightCrashesOfOneRequestEnd) {
@@ -328,7 +331,7 @@
 // The shortest order: two daemons, one connection, two requests of one place.
 // One has both cleared while a late copy of their suspicion is on its way.
 TEST(suspect_order_test, TwoDaemonsEnd) {
-  const auto requests = OfOnePlace(2);
+  const auto requests = InOneSlot(2);
   fleet both(2, 1);
   both.Crash(0, requests);
   both.DeliverFrom(0, 1);  // Passed on, back to 0 as well: the late copy.
@@ -340,63 +343,65 @@
 
 // All are told before the first is cleared, as at a fleet with time to spare.
 // A daemon that heard nothing of the clearing connects then and tells.
-TEST(suspect_order_test, SuspectsOfOnePlaceThatAreClearedLaterEnd) {
-  const auto requests = OfOnePlace(2);
+TEST(suspect_order_test, SuspectsInOneSlotClearedLaterEnd) {
+  const auto requests = InOneSlot(2);
   fleet all(kDaemons);
   all.Crash(0, requests);
-  EXPECT_TRUE(all.Run(kMost, AtRandom(1)).ended);
+  EXPECT_TRUE(all.Run(kMaxFrames, AtRandom(1)).ended);
   all.Complete(1, requests[0]);
   all.Complete(2, requests[1]);
-  EXPECT_TRUE(all.Run(kMost, AtRandom(1)).ended);
+  EXPECT_TRUE(all.Run(kMaxFrames, AtRandom(1)).ended);
 }
 
-TEST(suspect_order_test, SuspectsOfOnePlaceThatAreToldAnewEnd) {
-  const auto requests = OfOnePlace(2);
+TEST(suspect_order_test, SuspectsInOneSlotSentAgainEnd) {
+  const auto requests = InOneSlot(2);
   std::size_t endless = 0;
   for (std::uint32_t seed = 1; seed <= 10; ++seed) {
     fleet all(kDaemons);
     all.Crash(0, requests);
-    EXPECT_TRUE(all.Run(kMost, AtRandom(seed)).ended);
-    const std::vector<quarantine_entry> known = all.at(5).Known(all.now());
+    EXPECT_TRUE(all.Run(kMaxFrames, AtRandom(seed)).ended);
+    const std::vector<quarantine_entry> known = all.at(5).Snapshot(all.now());
     all.Complete(1, requests[0]);
     all.Complete(2, requests[1]);
-    EXPECT_TRUE(all.Run(kMost, AtRandom(seed)).ended);
-    all.TellAnew(5, 6, known);  // On a connection that was slow to be made.
-    endless += all.Run(kMost, AtRandom(seed)).ended ? 0 : 1;
+    EXPECT_TRUE(all.Run(kMaxFrames, AtRandom(seed)).ended);
+    all.SendSnapshot(5, 6, known);  // On a connection that was slow to be made.
+    endless += all.Run(kMaxFrames, AtRandom(seed)).ended ? 0 : 1;
   }
   EXPECT_EQ(endless, 0U);
 }
 
 // Suspects as a day has them: by chance some have one place. What is told
 // before the clearing begins is all but `late` frames.
-TEST(suspect_order_test, ManySuspectsWithLateCopiesEnd) {
+TEST(suspect_order_test, ManySuspectsWithDelayedDuplicatesEnd) {
   for (const std::size_t suspects : {32U, 96U, 192U}) {
     std::vector<request_fingerprint> requests;
-    std::map<std::size_t, std::size_t> places;
+    std::map<std::size_t, std::size_t> slots;
     std::size_t sharing = 0;
     for (std::size_t i = 0; i < suspects; ++i) {
       requests.push_back(Request("/day/" + std::to_string(i)));
-      sharing += places[requests.back().low % kPlaces]++;
+      sharing += slots[requests.back().low % kSlots]++;
     }
-    for (const std::size_t late : {0U, 1U, 10U, 100U}) {
+    for (const std::size_t delayed : {0U, 1U, 10U, 100U}) {
       fleet all(kDaemons);
       const fleet::chooser choose = AtRandom(3);
-      for (std::size_t i = 0; i < suspects; i += crash_suspects::kMostTold) {
-        all.Crash((i / crash_suspects::kMostTold) % kDaemons,
+      for (std::size_t i = 0; i < suspects;
+           i += crash_suspects::kMaxPublishedSuspects) {
+        all.Crash((i / crash_suspects::kMaxPublishedSuspects) % kDaemons,
                   {requests.begin() + static_cast<std::ptrdiff_t>(i),
-                   requests.begin() + static_cast<std::ptrdiff_t>(
-                                          i + crash_suspects::kMostTold)});
+                   requests.begin() +
+                       static_cast<std::ptrdiff_t>(
+                           i + crash_suspects::kMaxPublishedSuspects)});
       }
-      while (all.waiting() > late) {
+      while (all.pending() > delayed) {
         all.Run(all.so_far().delivered + 1, choose);
       }
       for (std::size_t i = 0; i < suspects; ++i) {
         all.Complete((3 * i) % kDaemons, requests[i]);
         all.Run(all.so_far().delivered + 1, choose);
       }
-      const result got = all.Run(kMost, choose);
+      const result got = all.Run(kMaxFrames, choose);
       std::cout << "MANY suspects " << suspects << " sharing " << sharing
-                << " late " << late << ": " << got << "\n";
+                << " late " << delayed << ": " << got << "\n";
       EXPECT_TRUE(got.ended);
     }
   }
@@ -408,14 +413,14 @@
 std::size_t EndlessWithPauses(std::size_t daemons,
                               std::size_t paused,
                               const std::vector<request_fingerprint>& requests,
-                              bool told_before) {
+                              bool received_before) {
   constexpr std::size_t kSeeds = 20;
   std::size_t endless = 0;
-  std::size_t most_delivered = 0;
+  std::size_t max_delivered = 0;
   for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
     fleet all(daemons);
     const fleet::chooser choose = AtRandom(seed);
-    if (!told_before) {
+    if (!received_before) {
       all.Pause(daemons - paused);
     }
     for (std::size_t i = 0; i < requests.size(); i += 16) {
@@ -424,47 +429,47 @@
                  requests.begin() + static_cast<std::ptrdiff_t>(
                                         std::min(i + 16, requests.size()))});
     }
-    all.Run(kMost, choose);
+    all.Run(kMaxFrames, choose);
     all.Pause(daemons - paused);
     for (std::size_t i = 0; i < requests.size(); ++i) {
       all.Complete(i % 4, requests[i]);
     }
-    all.Run(kMost, choose);
+    all.Run(kMaxFrames, choose);
     all.Continue();
-    const result got = all.Run(kMost, choose);
+    const result got = all.Run(kMaxFrames, choose);
     endless += got.ended ? 0 : 1;
     if (got.ended) {
-      most_delivered = std::max(most_delivered, got.delivered);
+      max_delivered = std::max(max_delivered, got.delivered);
     }
   }
   std::cout << "PAUSE daemons " << daemons << " paused " << paused
             << " suspects " << requests.size()
-            << (told_before ? " paused before the clearing"
-                            : " paused before the crash")
+            << (received_before ? " paused before the clearing"
+                                : " paused before the crash")
             << ": endless " << endless << " of " << kSeeds
-            << ", most delivered where it ended " << most_delivered << "\n";
+            << ", most delivered where it ended " << max_delivered << "\n";
   return endless;
 }
 
-TEST(suspect_order_test, DaemonsThatReadLateWithPlacesOfTheirOwnEnd) {
+TEST(suspect_order_test, PausedDaemonsWithSuspectsInOwnSlotsEnd) {
   for (const std::size_t paused : {1U, 4U, 8U}) {
-    EXPECT_EQ(EndlessWithPauses(kDaemons, paused, OfOwnPlaces(2), false), 0U);
-    EXPECT_EQ(EndlessWithPauses(kDaemons, paused, OfOwnPlaces(2), true), 0U);
+    EXPECT_EQ(EndlessWithPauses(kDaemons, paused, InOwnSlots(2), false), 0U);
+    EXPECT_EQ(EndlessWithPauses(kDaemons, paused, InOwnSlots(2), true), 0U);
   }
 }
 
-TEST(suspect_order_test, DaemonsThatReadLateEnd) {
+TEST(suspect_order_test, PausedDaemonsWithSuspectsInOneSlotEnd) {
   for (const std::size_t paused : {1U, 2U, 4U, 8U}) {
-    EXPECT_EQ(EndlessWithPauses(kDaemons, paused, OfOnePlace(2), false), 0U);
-    EXPECT_EQ(EndlessWithPauses(kDaemons, paused, OfOnePlace(2), true), 0U);
+    EXPECT_EQ(EndlessWithPauses(kDaemons, paused, InOneSlot(2), false), 0U);
+    EXPECT_EQ(EndlessWithPauses(kDaemons, paused, InOneSlot(2), true), 0U);
   }
-  EXPECT_EQ(EndlessWithPauses(30, 1, OfOnePlace(2), false), 0U);
-  EXPECT_EQ(EndlessWithPauses(30, 4, OfOnePlace(2), false), 0U);
+  EXPECT_EQ(EndlessWithPauses(30, 1, InOneSlot(2), false), 0U);
+  EXPECT_EQ(EndlessWithPauses(30, 4, InOneSlot(2), false), 0U);
 }
 
 // As many as the crashes of a day leave, not chosen: of 192, four pairs have
 // one place, of 96 none.
-TEST(suspect_order_test, OneDaemonThatReadsLateAmongManySuspectsEnds) {
+TEST(suspect_order_test, OnePausedDaemonWithManySuspectsEnds) {
   for (const std::size_t suspects : {96U, 192U}) {
     std::vector<request_fingerprint> requests;
     for (std::size_t i = 0; i < suspects; ++i) {
@@ -475,66 +480,67 @@
 }
 
 // So many of the frames that tell of the crash are late; the rest is over.
-TEST(suspect_order_test, LateCopiesOfOnePlaceEnd) {
-  for (const std::size_t late : {0U, 1U, 3U, 10U, 30U, 100U}) {
+TEST(suspect_order_test, DelayedDuplicatesInOneSlotEnd) {
+  for (const std::size_t delayed : {0U, 1U, 3U, 10U, 30U, 100U}) {
     std::size_t endless = 0;
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-      const auto requests = OfOnePlace(2);
+      const auto requests = InOneSlot(2);
       fleet all(kDaemons);
       const fleet::chooser choose = AtRandom(seed);
       all.Crash(0, requests);
       do {
         all.Run(all.so_far().delivered + 1, choose);
-      } while (all.waiting() > late || all.so_far().news < kDaemons - 1);
+      } while (all.pending() > delayed || all.so_far().updates < kDaemons - 1);
       all.Complete(1, requests[0]);
       all.Complete(2, requests[1]);
-      endless += all.Run(kMost, choose).ended ? 0 : 1;
+      endless += all.Run(kMaxFrames, choose).ended ? 0 : 1;
     }
-    std::cout << "LATE copies " << late << ": endless " << endless
+    std::cout << "LATE copies " << delayed << ": endless " << endless
               << " of 20\n";
     EXPECT_EQ(endless, 0U);
   }
 }
 
 // Several daemons connect and tell what they knew before the clearing.
-TEST(suspect_order_test, SeveralThatTellAnewEnd) {
-  for (const std::size_t telling : {1U, 3U, 11U, 50U}) {
+TEST(suspect_order_test, SeveralSnapshotsSentAgainEnd) {
+  for (const std::size_t senders : {1U, 3U, 11U, 50U}) {
     std::size_t endless = 0;
     for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-      const auto requests = OfOnePlace(2);
+      const auto requests = InOneSlot(2);
       fleet all(kDaemons);
       const fleet::chooser choose = AtRandom(seed);
       all.Crash(0, requests);
-      all.Run(kMost, choose);
-      const auto known = all.at(5).Known(all.now());
+      all.Run(kMaxFrames, choose);
+      const auto known = all.at(5).Snapshot(all.now());
       all.Complete(1, requests[0]);
       all.Complete(2, requests[1]);
-      for (std::size_t i = 0; i < telling; ++i) {
-        all.TellAnew(i % kDaemons, (i + 1 + i / kDaemons) % kDaemons, known);
+      for (std::size_t i = 0; i < senders; ++i) {
+        all.SendSnapshot(i % kDaemons, (i + 1 + i / kDaemons) % kDaemons,
+                         known);
       }
-      endless += all.Run(kMost, choose).ended ? 0 : 1;
+      endless += all.Run(kMaxFrames, choose).ended ? 0 : 1;
     }
-    std::cout << "ANEW telling " << telling << ": endless " << endless
+    std::cout << "ANEW telling " << senders << ": endless " << endless
               << " of 20\n";
     EXPECT_EQ(endless, 0U);
   }
 }
 
 // More suspects than a daemon keeps: what had to make room is news again.
-TEST(suspect_order_test, MoreSuspectsThanAreKeptEnd) {
+TEST(suspect_order_test, MoreSuspectsThanCapacityEnd) {
   for (const std::size_t crashes : {256U, 258U, 320U}) {
     fleet all(4, 1);
     std::size_t next = 0;
     for (std::size_t i = 0; i < crashes; ++i) {
       std::vector<request_fingerprint> requests;
-      for (std::size_t j = 0; j < crash_suspects::kMostTold; ++j) {
+      for (std::size_t j = 0; j < crash_suspects::kMaxPublishedSuspects; ++j) {
         requests.push_back(Request("/more/" + std::to_string(next++)));
       }
       all.Crash(i % 4, requests);
     }
     // Each crash is told to 3, passed on by each of those to 3.
-    const std::size_t most = 2 * crashes * 12;
-    const result got = all.Run(most, AtRandom(1));
+    const std::size_t max_frames = 2 * crashes * 12;
+    const result got = all.Run(max_frames, AtRandom(1));
     std::cout << "KEPT suspects " << next << ": " << got << "\n";
     EXPECT_TRUE(got.ended);
   }
@@ -542,8 +548,8 @@
 
 // Ten seconds of a busy daemon: whatever completes there takes the place of
 // what was cleared.
-TEST(suspect_order_test, OtherRequestsThatCompleteMeanwhileChangeNothing) {
-  const auto requests = OfOnePlace(2);
+TEST(suspect_order_test, UnrelatedCompletionsDoNotPreventTheEnd) {
+  const auto requests = InOneSlot(2);
   for (const bool everywhere : {false, true}) {
     fleet all(kDaemons);
     const fleet::chooser choose = AtRandom(7);
@@ -559,7 +565,7 @@
         break;
       }
     }
-    got = all.Run(kMost, choose);
+    got = all.Run(kMaxFrames, choose);
     EXPECT_TRUE(got.ended) << got;
     EXPECT_LE(got.delivered, Bound(1)) << got;
   }
--- a/tools/quota_fleet.h
+++ b/tools/quota_fleet.h
@@ -213,7 +213,7 @@
   void Report(std::size_t index) {
     daemon& from = *daemons_[index];
     const auto parent = from.tree.Parent(now_);
-    from.ledger.SetFirst(!parent);
+    from.ledger.SetRoot(!parent);
     from.ledger.Tick(now_);
     if (!parent || (from.asked && now_ - *from.asked < milliseconds(600))) {
       return;
