--- a/include/organisation/key_check.h
+++ b/include/organisation/key_check.h
@@ -1,4 +1,4 @@
-// key_check: on whose behalf a request comes, by its API key.
+// key_check: determines by API key which organisation a request belongs to.
 //
 // Pure logic.
 #pragma once
@@ -15,22 +15,24 @@
 
 enum class key_verdict : std::uint8_t {
   kNotNeeded,    // Served without an organisation.
-  kHeld,         // By an organisation.
-  kNotHeld,      // By none, or the request has no key.
-  kUnconfirmed,  // The configuration is too old to tell.
+  kHeld,         // Held by an organisation.
+  kNotHeld,      // Held by none, or the request has no key.
+  kUnconfirmed,  // The configuration is too old to decide.
 };
 
 inline constexpr enum_table<key_verdict, 4> kKeyVerdictNames(
     {"not_needed", "held", "not_held", "unconfirmed"});
 
 struct key_check_input {
-  const organisation_table* organisations = nullptr;  // nullptr without keys.
-  bool is_public = false;                             // The route.
+  const organisation_table* organisations =
+      nullptr;             // nullptr if API keys are not used.
+  bool is_public = false;  // Whether the route is public.
   std::string_view api_key;
-  // How long ago the configuration is proven to have been the newest one;
-  // nothing if that was never proven.
+  // Time since the configuration was last proven to be the newest one; nullopt
+  // if it never was.
   std::optional<milliseconds> proven_age;
-  // Oldest configuration that keys may be judged by; zero if any may.
+  // Maximum age of a configuration that keys are checked against; zero for no
+  // limit.
   milliseconds max_age{0};
 };
 
@@ -39,8 +41,8 @@
   const organisation* holder = nullptr;  // Only with kHeld.
 };
 
-// An old configuration says nothing either way: keys may have been withdrawn
-// and added since.
+// An outdated configuration neither confirms nor refuses a key: keys may have
+// been withdrawn and added since.
 [[nodiscard]] inline key_check_result CheckKey(const key_check_input& input) {
   if (input.organisations == nullptr) {
     return {};
--- a/include/organisation/organisation_table.h
+++ b/include/organisation/organisation_table.h
@@ -1,6 +1,6 @@
-// organisation_table: which organisation holds an API key, and what it may use.
+// organisation_table: maps API keys to organisations and their limits.
 //
-// A value; built once for each configuration and shared by its readers.
+// Immutable value; built once per configuration and shared by its readers.
 #pragma once
 
 #include <cstddef>
@@ -13,8 +13,8 @@
 
 namespace pistachioweir {
 
-// Names an organisation between daemons, whatever configuration each of them
-// has.
+// Identifies an organisation across daemons, independent of the configuration
+// that each of them has.
 enum class organisation_id : std::uint64_t {};
 
 [[nodiscard]] organisation_id IdOfOrganisation(std::string_view name);
@@ -23,10 +23,11 @@
   organisation_id id{};  // Of `name`; set by the table.
   std::string name;
   std::vector<std::string> api_keys;
-  // Of its requests, in place of their route's; 0 matters most.
+  // Rank of its requests, which overrides that of their route; 0 is the most
+  // important.
   std::optional<std::uint32_t> rank;
-  // Of all daemons together: requests a second, zero for no limit, and how many
-  // may come at once beyond that.
+  // Limits over all daemons: requests per second, zero for no limit, and the
+  // number of requests admitted at once beyond that.
   double rate = 0;
   double burst = 0;
 };
@@ -35,14 +36,15 @@
  public:
   organisation_table() = default;
 
-  // Nothing if an organisation has no name, an empty key, or a negative rate or
-  // burst, or if two share a name or a key. `problem` then says which, without
-  // telling the key.
+  // Returns nullopt if an organisation has no name, an empty key, or a negative
+  // rate or burst, or if two share a name or a key. `problem` then describes
+  // which, without printing the key.
   [[nodiscard]] static std::optional<organisation_table> Make(
       std::vector<organisation> organisations,
       std::string* problem);
 
-  // nullptr if nobody holds the key. Valid as long as the table.
+  // Returns nullptr if no organisation holds the key. Valid as long as the
+  // table.
   [[nodiscard]] const organisation* Find(std::string_view api_key) const;
 
   [[nodiscard]] const std::vector<organisation>& organisations() const {
@@ -50,8 +52,8 @@
   }
 
  private:
-  // Under a secret of this process, so that a caller can't choose keys that
-  // fall together, or learn from the time of a look-up how near it came.
+  // Keyed with a secret of this process, so that callers can neither choose
+  // keys that collide nor learn from look-up times how close a guess was.
   struct secret_hash {
     std::size_t operator()(std::string_view key) const;
   };
--- a/include/organisation/precedence.h
+++ b/include/organisation/precedence.h
@@ -1,6 +1,6 @@
 // precedence: the rank of a request by its organisation and its route.
 //
-// A value; built once for each configuration.
+// Immutable value; built once per configuration.
 #pragma once
 
 #include <algorithm>
@@ -16,10 +16,9 @@
 
 namespace pistachioweir {
 
-// An organisation's rank goes before its route's; requests of organisations
-// that are alike are told apart by their routes. The pairs that exist are
-// spread over the priorities. Ranks of routes whose requests come without an
-// organisation are kept.
+// Orders requests by the rank of their organisation, then by that of their
+// route. The pairs that exist are distributed over the priorities. Routes whose
+// requests come without an organisation keep their rank.
 class precedence {
  public:
   precedence() = default;
@@ -52,7 +51,7 @@
     return static_cast<std::uint32_t>(index * kPriorityCount / levels);
   }
 
-  // Whether some other organisation is to give way to this one.
+  // Whether some other organisation has to yield to this one.
   [[nodiscard]] bool TakesPrecedence(const organisation* holder) const {
     return holder != nullptr && holder->rank && !pairs_.empty() &&
            *holder->rank < pairs_.back().first;
@@ -66,7 +65,7 @@
     return {holder.rank.value_or(matched.rank), matched.rank};
   }
 
-  std::vector<rank_pair> pairs_;  // In order, each once.
+  std::vector<rank_pair> pairs_;  // Sorted, without duplicates.
 };
 
 }  // namespace pistachioweir
--- a/include/quarantine/crash_dedup_cache.h
+++ b/include/quarantine/crash_dedup_cache.h
@@ -1,4 +1,5 @@
-// crash_dedup_cache: which crashes of which requests a daemon has been told of.
+// crash_dedup_cache: remembers which crashes of which requests a daemon has
+// received.
 #pragma once
 
 #include <cstddef>
@@ -12,25 +13,28 @@
 namespace pistachioweir {
 
 struct crash_dedup_options {
-  // Longer than daemons tell of a crash, which they do for the period of its
+  // Longer than daemons publish a crash, which they do for the period of its
   // quarantine.
   milliseconds retention{120000};
-  // Crashes of requests within `memory`.
+  // Maximum number of (request, crash) pairs added within `retention`.
   std::size_t max_entries = 16384;
 };
 
 enum class dedup_result : std::uint8_t {
   kNew,
-  kDuplicate,  // It was told within the memory.
-  kFull,  // It may have been; it isn't remembered, and must not be passed on.
+  kDuplicate,  // Received within the retention.
+  // The cache is full: the pair may be a duplicate. It is not stored and must
+  // not be forwarded.
+  kFull,
 };
 
-// Daemons pass on what they hear for the first time, so many copies come of
-// each. Telling ends only if nothing is forgotten while
-// copies of it may come. What is known of a request doesn't serve: it changes
-// as the request is suspected, cleared and suspected again, and its places are
-// taken by other requests. A daemon that was late then passed old copies on as
-// news, and so did those that it told, without end.
+// Deduplicates received crashes. Daemons forward what they receive for the
+// first time, so each crash arrives in many copies. Forwarding terminates only
+// if a crash is remembered for as long as copies of it may arrive. The
+// quarantine state of the request cannot serve as this memory: it changes as
+// the request is suspected, cleared and suspected again, and other requests
+// take over its slots. With it, a delayed daemon forwarded old copies as new
+// ones, and so did the daemons that received them, without end.
 //
 // Pure logic; the owner keeps one beside its quarantine.
 class crash_dedup_cache {
@@ -46,8 +50,8 @@
   void RotateGenerations(time_point now);
 
   const crash_dedup_options options_;
-  // Hashes of request and crash: those that were added since
-  // `generation_start_`, and for as long before that. At most `most` each.
+  // Hashes of request and crash: those added since `generation_start_`, and
+  // those of the generation before. At most `max_entries` each.
   std::unordered_set<std::uint64_t> current_;
   std::unordered_set<std::uint64_t> previous_;
   time_point generation_start_;
--- a/include/quarantine/suspect_fanout.h
+++ b/include/quarantine/suspect_fanout.h
@@ -1,5 +1,5 @@
-// suspect_spread: who is told of suspects besides the daemons that are
-// connected already.
+// suspect_fanout: selects the daemons that receive suspects besides those that
+// are already connected.
 #pragma once
 
 #include <algorithm>
@@ -12,20 +12,21 @@
 
 namespace pistachioweir {
 
-// News of requests that crash targets travels over open connections, and each
-// daemon passes on what it hears. Calls stay in their data centre while they
-// can, so with enough targets in each no connection leads from one to another:
-// with 60 daemons in three, 40 never heard of a crash, and one request crashed
-// two targets in each of the three instead of two in all.
+// Suspects are published over open connections, and each daemon forwards what
+// it receives. Calls stay in their data centre where possible, so with enough
+// targets in each data centre no connection links two of them: with 60 daemons
+// in three data centres, 40 never received a crash, and one request crashed two
+// targets in each of the three instead of two in all.
 //
-// So whoever has news tells some daemons that it has no connection to as well,
-// at random, of the whole list. With three each, of a hundred daemons and more
-// all but one in twenty are picked by somebody, and those are connected to
-// others that are. More would cost more connections for each crash, and fewer
-// would leave a small data centre out now and then.
+// A daemon with new suspects therefore also connects to a few daemons, chosen
+// at random from the whole list, that it has no connection to. With three each,
+// at a hundred daemons and more all but one in twenty are chosen by some
+// daemon, and the rest are connected to others that are. A larger fan-out would
+// open more connections for each crash, and a smaller one would occasionally
+// miss a small data centre.
 inline constexpr std::size_t kUnconnectedFanout = 3;
 
-// Up to `most` different ones of `all`.
+// Returns up to `max_count` different elements of `items`, chosen at random.
 template <typename T, typename Random>
 [[nodiscard]] std::vector<T> RandomSample(std::vector<T> items,
                                           std::size_t max_count,
@@ -38,7 +39,7 @@
   return items;
 }
 
-// Up to kUnconnectedFanout different ones of `others`.
+// Returns up to kUnconnectedFanout different elements of `unconnected`.
 [[nodiscard]] inline std::vector<std::string> ChooseUnconnected(
     std::vector<std::string> unconnected,
     const std::function<std::uint64_t()>& random) {
--- a/include/quota/decayed_rate.h
+++ b/include/quota/decayed_rate.h
@@ -1,5 +1,4 @@
-// decayed_rate: how often something happened lately, older events counting
-// less.
+// decayed_rate: event rate with exponential decay.
 //
 // Pure logic.
 #pragma once
@@ -14,7 +13,7 @@
 
 class decayed_rate {
  public:
-  // Events this old count a third of new ones.
+  // Time constant: events of this age are weighted by 1/e, about a third.
   static constexpr std::chrono::duration<double> kTimeConstant{1.0};
 
   void Add(double count, time_point now) {
--- a/include/quota/quota_ledger.h
+++ b/include/quota/quota_ledger.h
@@ -1,8 +1,8 @@
-// quota_ledger: what one daemon knows of the organisations' quotas, and whether
-// one more request is let in.
+// quota_ledger: the state of organisation quotas on one daemon, and admission
+// of single requests.
 //
-// Pure logic: no input or output, time and randomness are arguments. The
-// daemon keeps one and carries its reports.
+// Pure logic: no input or output, time and randomness are arguments. The daemon
+// keeps one and transports its reports.
 #pragma once
 
 #include <algorithm>
@@ -27,34 +27,34 @@
 namespace pistachioweir {
 
 struct quota_options {
-  // Part of a quota by which daemons that can't reach each other may exceed it
-  // together.
+  // Fraction of a quota by which network partitions may together exceed it.
   double overage = 0.125;
-  // Word of others counts this long; several reports fall into it.
+  // Validity of a report from another daemon; several reports fall into it.
   milliseconds report_validity{1000};
 };
 
 struct quota_decision {
   bool admitted = true;
-  milliseconds retry_after{0};  // Unless it is admitted.
-  quota_inputs inputs;          // That decided.
+  milliseconds retry_after{0};  // Zero if admitted.
+  quota_inputs inputs;          // Inputs of the decision.
 };
 
-// Daemons form a tree. Each reports up what was let in at it and below it; the
-// first one keeps a bucket of tokens for each organisation and tells down how
-// full it is. A daemon that hears nothing leads those that report to it, with
-// the part of each quota that their number has of the fleet, so that parts of
-// the fleet that can't reach each other keep the quotas together.
+// Daemons form a tree. Each reports to its parent the requests admitted at
+// itself and below it; the root keeps a token bucket for each organisation and
+// sends its level down the tree. A daemon without a valid quota report acts as
+// the root of its subtree, with the share of each quota that its reachable
+// daemons are of the fleet, so that network partitions together keep within the
+// quotas (see quota_options::overage).
 template <quota_rule Rule>
 class quota_ledger {
  public:
-  // Names a daemon that reports to this one.
+  // Identifies a daemon that reports to this one.
   using child_id = std::uint64_t;
 
   explicit quota_ledger(const quota_options& options) : options_(options) {}
 
-  // Buckets of organisations that are new here begin empty: what was spent
-  // before isn't known.
+  // Buckets of organisations that are new here start empty, since what was
+  // spent before is unknown.
   void Configure(const organisation_table& organisations, time_point now) {
     std::unordered_map<organisation_id, quota_account, id_hash> accounts;
     for (const organisation& each : organisations.organisations()) {
@@ -73,13 +73,13 @@
     accounts_ = std::move(accounts);
   }
 
-  // Daemons of the fleet, in touch or not.
+  // Number of daemons in the fleet, reachable or not.
   void SetDaemons(std::size_t count) {
     daemons_ = std::max<std::size_t>(1, count);
   }
-  // Whether no other daemon is to be reported to.
+  // Whether this daemon has no parent to report to.
   void SetRoot(bool is_root) { is_root_ = is_root; }
-  // Several times within `memory`.
+  // Call several times within `report_validity`.
   void Tick(time_point now) {
     std::erase_if(children_, [&](const auto& child) {
       return now - child.second.reported_at > options_.report_validity;
@@ -92,7 +92,7 @@
 
   [[nodiscard]] bool empty() const { return accounts_.empty(); }
 
-  // `random` is from 0 up to 1.
+  // `random` is in [0, 1).
   quota_decision Admit(organisation_id id, double random, time_point now) {
     const auto found = accounts_.find(id);
     if (found == accounts_.end()) {
@@ -114,7 +114,7 @@
             .inputs = inputs};
   }
 
-  // A request that was let in has not run.
+  // Returns the quota of an admitted request that was not run.
   void Refund(organisation_id id) {
     const auto found = accounts_.find(id);
     if (found != accounts_.end()) {
@@ -122,7 +122,7 @@
     }
   }
 
-  // For the daemon that this one reports to: all that it isn't known to have.
+  // The report for the parent: all counts that it has not acknowledged.
   [[nodiscard]] usage_report TakeReport(time_point now) {
     Tick(now);
     usage_report report{.daemons = subtree_size_};
@@ -141,7 +141,7 @@
     return report;
   }
 
-  // It has the last report, and told this.
+  // The parent acknowledged the last report and sent `quota`.
   void OnQuota(const quota_report& quota, time_point now) {
     quota_received_at_ = now;
     reported_reachable_ = quota.daemons;
@@ -164,7 +164,7 @@
     }
   }
 
-  // A daemon reported to this one.
+  // A child sent a report.
   void OnUsage(child_id child, const usage_report& report, time_point now) {
     child_state& existing = children_[child];
     subtree_size_ +=
@@ -186,7 +186,7 @@
     }
   }
 
-  // For daemons that report to this one.
+  // The quota report for children of this daemon.
   [[nodiscard]] quota_report Quota(time_point now) {
     quota_report report{.daemons = ReachableDaemons(now)};
     const bool acts_as_root = ActsAsRoot(now);
@@ -207,7 +207,7 @@
     return report;
   }
 
-  // Daemons that are in touch with this one, itself included.
+  // Number of daemons that are reachable from this one, itself included.
   [[nodiscard]] std::uint32_t ReachableDaemons(time_point now) const {
     return HasValidQuota(now) ? std::max(subtree_size_, reported_reachable_)
                               : subtree_size_;
@@ -218,7 +218,7 @@
     std::uint64_t admitted = 0;
     std::uint64_t refused = 0;
   };
-  // Since the start, of each organisation that was refused anything.
+  // Counts since the start, of each organisation that had requests refused.
   [[nodiscard]] std::vector<usage> Refused() const {
     std::vector<usage> all;
     for (const auto& [id, account] : accounts_) {
@@ -232,10 +232,11 @@
   }
 
  private:
-  // An organisation that has more than this part of its burst, and asks for
-  // less than this part of its rate, need not be told of.
+  // An organisation with more than this fraction of its burst left, and with a
+  // demand below this fraction of its rate, is omitted from quota reports.
   static constexpr double kNearLimitFraction = 0.7;
-  // An overspent bucket is not kept further below zero than this.
+  // Lower bound of an overspent bucket, as the time in which the rate refills
+  // it.
   static constexpr std::chrono::duration<double> kMaxDebt{2.0};
   static constexpr milliseconds kMinRetryAfter{200};
   static constexpr milliseconds kMaxRetryAfter{5000};
@@ -249,14 +250,14 @@
   struct quota_account {
     std::string name;
     double rate = 0;   // Of the whole fleet, as configured.
-    double burst = 0;  // Likewise.
-    double level = 0;  // Of the bucket; refilled only where this daemon leads.
+    double burst = 0;  // Of the whole fleet, as configured.
+    double level = 0;  // Of the bucket; refilled only by the acting root.
     time_point refilled_at;
-    decayed_rate demand;  // Of the daemons in touch, where this one leads.
-    double reported_demand = 0;  // Where it doesn't.
-    bool near_limit = false;     // It was told of.
-    decayed_rate local_demand;   // Demand of this daemon.
-    // Not reported yet, and reported without an answer yet.
+    decayed_rate demand;         // Of the reachable daemons, if acting as root.
+    double reported_demand = 0;  // Otherwise.
+    bool near_limit = false;     // It is in the last quota report.
+    decayed_rate local_demand;   // Of this daemon.
+    // Counts not reported yet, and counts reported but not acknowledged.
     std::int64_t unreported_admitted = 0;
     std::int64_t unreported_refused = 0;
     std::int64_t unacknowledged_admitted = 0;
@@ -280,7 +281,7 @@
     return is_root_ || !HasValidQuota(now);
   }
 
-  // Of a quota, what the daemons in touch may use.
+  // The fraction of a quota that the reachable daemons may use.
   [[nodiscard]] double ReachableShare(time_point now) const {
     const double share = static_cast<double>(ReachableDaemons(now)) /
                          static_cast<double>(daemons_);
@@ -322,7 +323,8 @@
             .daemons = daemons_};
   }
 
-  // Until the debt is paid, and then as often as the demand exceeds the rate.
+  // The time to refill the debt, plus a delay in proportion to the excess of
+  // the demand over the rate.
   [[nodiscard]] static milliseconds RetryAfter(const quota_inputs& inputs) {
     const double debt = std::max(0.0, -inputs.level);
     const double excess = std::max(0.0, inputs.demand - inputs.rate);
@@ -337,7 +339,7 @@
   const quota_options options_;
   std::unordered_map<organisation_id, quota_account, id_hash> accounts_;
   std::map<child_id, child_state> children_;
-  std::uint32_t subtree_size_ = 1;  // Daemons that report here, and this one.
+  std::uint32_t subtree_size_ = 1;  // Daemons of the subtree, itself included.
   std::size_t daemons_ = 1;
   bool is_root_ = true;
   std::optional<time_point> quota_received_at_;
--- a/include/quota/quota_rule.h
+++ b/include/quota/quota_rule.h
@@ -1,7 +1,7 @@
-// quota_rule: whether one daemon lets in one more request of an organisation.
+// quota_rule: whether one daemon admits one more request of an organisation.
 //
-// Answers the load of an organisation that sends more than its quota, spread
-// over all daemons in any way. Pure logic: time and randomness are arguments.
+// Handles an organisation that sends more than its quota, distributed over the
+// daemons in any way. Pure logic: time and randomness are arguments.
 #pragma once
 
 #include <algorithm>
@@ -13,16 +13,16 @@
 
 namespace pistachioweir {
 
-// What a daemon knows of an organisation's quota and use.
+// The quota and usage of an organisation as known to a daemon.
 struct quota_inputs {
-  // Of the daemons that are in touch with this one, together.
+  // Totals over the daemons reachable from this one.
   double rate = 0;    // Requests a second.
-  double burst = 0;   // Requests that may come at once beyond that.
-  double level = 0;   // Of the burst, what is left; below zero if overspent.
+  double burst = 0;   // Requests admitted at once beyond the rate.
+  double level = 0;   // Left of the burst; negative if overspent.
   double demand = 0;  // Requests a second, refused ones included.
   // Of this daemon.
   double local_demand = 0;
-  // Of all daemons of the fleet, in touch or not.
+  // Of all daemons of the fleet, reachable or not.
   double fleet_rate = 0;
   double fleet_burst = 0;
   std::size_t daemons = 1;
@@ -34,11 +34,11 @@
              const quota_inputs& inputs,
              double random,
              time_point now) {
-  // `random` is from 0 up to 1.
+  // `random` is in [0, 1).
   { rule.Admit(inputs, random, now) } -> std::same_as<bool>;
 };
 
-// A bucket of tokens whose size and rate change.
+// A token bucket whose size and rate may change at any time.
 class token_bucket {
  public:
   [[nodiscard]] bool Take(double rate, double size, time_point now) {
@@ -58,8 +58,9 @@
   time_point updated_at_;
 };
 
-// Each daemon has an equal part of the quota. Needs no word from others, and
-// refuses whatever is unevenly spread.
+// Each daemon gets an equal share of the quota. Needs no reports from other
+// daemons, but refuses requests below the quota if they are unevenly
+// distributed.
 class equal_share_rule {
  public:
   [[nodiscard]] bool Admit(const quota_inputs& inputs,
@@ -74,7 +75,8 @@
   token_bucket bucket_;
 };
 
-// Each daemon has a part as large as its part of the demand.
+// Each daemon gets a share of the quota in proportion to its share of the
+// demand.
 class demand_share_rule {
  public:
   [[nodiscard]] bool Admit(const quota_inputs& inputs,
@@ -90,19 +92,19 @@
   token_bucket bucket_;
 };
 
-// All daemons admit the same part of their requests, so that together they use
-// the rate, and what is left of the burst within kSettlingTime.
+// All daemons admit the same fraction of their requests, so that together they
+// use the rate, plus what is left of the burst within kSettlingTime.
 class common_level_rule {
  public:
   static constexpr std::chrono::duration<double> kSettlingTime{1.0};
-  // With more debt than the rate pays in this time nothing is let in: how large
-  // the demand is isn't known yet after a start.
+  // With a debt of more than the rate refills in this time, nothing is
+  // admitted: the demand is not known yet after a start.
   static constexpr std::chrono::duration<double> kMaxDebt{0.25};
 
   [[nodiscard]] bool Admit(const quota_inputs& inputs,
                            double random,
                            time_point /*now*/) {
-    // A part that is smaller than one request is kept on average.
+    // A burst below one request is kept on average.
     if (inputs.burst < 1) {
       return random < inputs.level;
     }
--- a/include/quota/usage_tree.h
+++ b/include/quota/usage_tree.h
@@ -1,4 +1,4 @@
-// usage_tree: which daemon a daemon reports the use of quotas to.
+// usage_tree: selects the daemon to which a daemon reports quota usage.
 //
 // Pure logic; quota_sharing keeps one.
 #pragma once
@@ -15,18 +15,18 @@
 namespace pistachioweir {
 
 struct usage_tree_options {
-  std::string self;  // IP number.
-  // Daemons that report to one; bounds its work whatever the fleet's size.
+  std::string self;  // IP address.
+  // Maximum number of children of a daemon; bounds its work for any fleet size.
   std::size_t fan_out = 64;
-  // A daemon that doesn't answer for this long is passed over, and tried again
-  // after the second time. Several reports fall into the first.
+  // A parent that does not respond for `parent_timeout` is skipped, and retried
+  // after `parent_backoff`. Several reports fall into `parent_timeout`.
   milliseconds parent_timeout{700};
   milliseconds parent_backoff{3000};
 };
 
-// A heap over the daemons in the order of a hash of their addresses. Each
-// reports to one that stands before it, so that there is no ring however the
-// daemons' lists differ.
+// A heap over the daemons, ordered by a hash of their addresses. Each daemon
+// reports to one that precedes it, so that reports never form a cycle even if
+// the lists of the daemons differ.
 class usage_tree {
  public:
   explicit usage_tree(usage_tree_options options)
@@ -35,8 +35,8 @@
   void SetDaemons(std::vector<std::string> ips);
   void OnResponse(const std::string& ip, time_point now);
 
-  // Nothing for the first daemon that is in reach. Call several times within
-  // `silence`.
+  // Returns nullopt if this daemon is the root, that is, no predecessor is
+  // usable. Call several times within `parent_timeout`.
   [[nodiscard]] std::optional<std::string> Parent(time_point now);
 
   [[nodiscard]] std::size_t daemons() const { return daemons_; }
@@ -45,11 +45,11 @@
   [[nodiscard]] std::optional<std::string> Choose(time_point now) const;
 
   const usage_tree_options options_;
-  std::vector<std::string> predecessors_;  // In the order, before this daemon.
+  std::vector<std::string> predecessors_;  // In hash order, before this daemon.
   std::size_t daemons_ = 1;
   std::map<std::string, time_point> unresponsive_;  // Since when.
   std::optional<std::string> parent_;
-  time_point last_response_at_;  // From the parent, or since it was chosen.
+  time_point last_response_at_;  // Of the parent, or when it was chosen.
   time_point last_call_at_;      // The last call of Parent().
 };
 
--- a/src/forward/quota_sharing.cc
+++ b/src/forward/quota_sharing.cc
@@ -1,4 +1,4 @@
-// Reports and their answers.
+// Reports on quota usage and the responses to them.
 #include "src/forward/quota_sharing.h"
 
 #include <utility>
@@ -10,15 +10,15 @@
 namespace pistachioweir {
 namespace {
 
-// How old the news of a surge may get at each level of the tree.
+// Delay that each level of the tree may add until a surge is known at the root.
 constexpr milliseconds kReportInterval{250};
-// An answer that is not here after this time is lost.
+// A response that has not arrived after this time counts as lost.
 constexpr milliseconds kResponseTimeout{600};
-// Of the excess that the operator allows, what parts of the fleet that can't
-// reach each other use together; the rest is for news that is on its way.
+// Fraction of the allowed overage that network partitions use together; the
+// rest covers reports in transit.
 constexpr double kPartitionOverageFraction = 0.5;
 
-// From 0 up to 1.
+// Returns a value in [0, 1).
 double RandomFraction() {
   constexpr double kRange = 4294967296.0;
   return static_cast<double>(RandomBits32()) / kRange;
@@ -74,7 +74,8 @@
   }
   ledger_.SetRoot(!parent_);
   ledger_.Tick(now);
-  // While an answer is out, what a further report told would be counted twice.
+  // Unacknowledged counts are sent again, so a further report before the
+  // response would count them twice.
   const bool awaiting_response =
       report_sent_at_ && now - *report_sent_at_ < kResponseTimeout;
   if (parent_ && !awaiting_response) {
@@ -103,7 +104,7 @@
 
 void quota_sharing::OnQuota(const std::string& ip, const quota_frame& quota) {
   if (ip != parent_ || quota.number != last_number_) {
-    return;  // Of another report than the last; that one told everything.
+    return;  // Not the last report, which included all earlier counts.
   }
   report_sent_at_.reset();
   const time_point now = monotonic_clock::now();
--- a/src/forward/quota_sharing.h
+++ b/src/forward/quota_sharing.h
@@ -1,7 +1,7 @@
-// quota_sharing: carries what daemons tell each other of organisations' quotas.
+// quota_sharing: exchanges reports on organisation quotas with other daemons.
 //
-// Owns the ledger of this daemon and the choice of the one that it reports to.
-// Used on its context's thread only.
+// Owns the quota ledger of this daemon and the choice of its parent. Used on
+// its context's thread only.
 #pragma once
 
 #include <cstdint>
@@ -21,8 +21,8 @@
 namespace pistachioweir {
 
 struct quota_sharing_options {
-  std::string self;  // IP number.
-  // Part by which a quota may be exceeded, as the operator allows.
+  std::string self;  // IP address.
+  // Fraction by which the operator allows quotas to be exceeded.
   double overage = 0;
 };
 
@@ -38,14 +38,14 @@
 
   void Stop();
 
-  // A view has come into use.
+  // A new view was applied.
   void OnView(const service_view& view);
   [[nodiscard]] quota_decision Admit(organisation_id id);
   void Refund(organisation_id id) { ledger_.Refund(id); }
-  // A daemon reported to this one.
+  // A child sent a report. Returns the response.
   [[nodiscard]] quota_report OnUsage(incarnation_id sender,
                                      const usage_report& report);
-  // The daemon at `ip` answered.
+  // The daemon at `ip` responded to a report.
   void OnQuota(const std::string& ip, const quota_frame& quota);
 
   [[nodiscard]] const ledger& state() const { return ledger_; }
@@ -60,8 +60,7 @@
   usage_tree tree_;
   std::optional<std::string> parent_;
   std::uint64_t last_number_ = 0;
-  std::optional<time_point>
-      report_sent_at_;  // The last report, if it has no answer.
+  std::optional<time_point> report_sent_at_;  // Unset once answered.
   bool reporting_ = false;
 };
 
--- a/src/forward/suspect_sharing.cc
+++ b/src/forward/suspect_sharing.cc
@@ -1,4 +1,4 @@
-// Telling of suspects.
+// Publishing of suspects.
 #include "src/forward/suspect_sharing.h"
 
 #include <algorithm>
@@ -8,9 +8,10 @@
 namespace pistachioweir {
 namespace {
 
-// How long what is cleared waits for more.
+// Time for which cleared requests are collected into a batch.
 constexpr milliseconds kClearedBatchDelay{100};
-// Requests in one frame, which is read at one go.
+// Maximum number of cleared requests in one frame, as a frame is read in one
+// go.
 constexpr std::size_t kMaxClearedPerFrame = 128;
 
 constexpr std::size_t MaxPeers(suspects_source source) {
--- a/src/forward/suspect_sharing.h
+++ b/src/forward/suspect_sharing.h
@@ -1,7 +1,8 @@
-// suspect_sharing: decides when and to how many daemons this one tells which
-// requests may have crashed targets, and which have not.
+// suspect_sharing: schedules and limits the publishing of suspected and cleared
+// requests to other daemons.
 //
-// Owns what waits to be told. Used on its context's thread only.
+// Owns the cleared requests that wait to be sent. Used on its context's thread
+// only.
 #pragma once
 
 #include <cstddef>
@@ -18,26 +19,27 @@
 
 namespace pistachioweir {
 
-// Who found out what is told.
+// Where an update originated.
 enum class suspects_source : std::uint8_t { kLocal, kRemote };
 
-// Daemons that each news is passed on to. Whoever has found it out tells all
-// that are connected; passing it on is for those that aren't, and if all told
-// all, each daemon would hear everything once from every other one.
+// Number of daemons to which a received update is forwarded. The originator
+// publishes to all daemons connected to it; forwarding is for the others, and
+// if all daemons forwarded to all, each daemon would receive every update once
+// from every other one.
 inline constexpr std::size_t kForwardFanout = 10;
 
 class suspect_sharing {
  public:
-  // Sends to daemons that are connected: to all, or to `most` of them at
+  // Sends to connected daemons: to all of them, or to `max_peers` chosen at
   // random.
   using sender =
       std::function<void(const suspects_frame& frame, std::size_t max_peers)>;
 
   suspect_sharing(boost::asio::io_context& context, sender send);
 
-  // Suspects are told at once, for they may crash the next target. What is
-  // cleared waits for more of it: each crash has many suspects, nearly all of
-  // which complete within moments.
+  // Suspects are sent at once, as they may crash the next target. Cleared
+  // requests are batched: each crash has many suspects, nearly all of which
+  // complete within moments.
   void Publish(const suspects_frame& frame, suspects_source source);
   void Stop();
 
--- a/src/organisation/organisation_table.cc
+++ b/src/organisation/organisation_table.cc
@@ -1,4 +1,4 @@
-// Index of organisations by their keys.
+// Validation of organisations, and the index by API key.
 #include "include/organisation/organisation_table.h"
 
 #include <openssl/crypto.h>
@@ -62,7 +62,7 @@
     added.id = IdOfOrganisation(added.name);
     if (added.name.empty() || !names.insert(added.name).second) {
       *problem = "organisation " + std::to_string(i) + ": its name \"" +
-                 added.name + "\" is empty or another one's";
+                 added.name + "\" is empty or already in use";
       return std::nullopt;
     }
     if (!IsNonNegative(added.rate) || !IsNonNegative(added.burst)) {
--- a/src/quarantine/crash_dedup_cache.cc
+++ b/src/quarantine/crash_dedup_cache.cc
@@ -1,4 +1,4 @@
-// Memory of crashes that were told.
+// Deduplication of received crashes.
 #include "include/quarantine/crash_dedup_cache.h"
 
 #include <xxhash.h>
--- a/src/quarantine/crash_suspects.cc
+++ b/src/quarantine/crash_suspects.cc
@@ -1,4 +1,4 @@
-// Requests that were cut, and the deaths of the target that cut them.
+// Attribution of target crashes to interrupted requests.
 #include "include/quarantine/crash_suspects.h"
 
 #include <algorithm>
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -9,9 +9,8 @@
 
 namespace {
 
-// After an entry has ended it is remembered once more for its period:
-// otherwise a peer that still holds it would bring it back, and it would
-// travel between daemons for ever.
+// An expired entry is retained for one more period: otherwise a peer that still
+// holds it would send it back, and daemons would exchange it forever.
 constexpr int kRetentionPeriods = 2;
 
 }  // namespace
@@ -126,8 +125,8 @@
   return exported;
 }
 
-// Only a crash that was not known moves the end of an entry; else two daemons
-// would prolong it by telling each other.
+// Only a crash that was not known extends an entry; otherwise two daemons would
+// prolong it by sending it to each other.
 bool quarantine::Import(const quarantine_entry& entry, time_point now) {
   const milliseconds remaining = std::min(entry.remaining, options_.period);
   if (remaining <= milliseconds(0)) {
--- a/src/quota/usage_tree.cc
+++ b/src/quota/usage_tree.cc
@@ -1,4 +1,4 @@
-// Order and choice of the daemon to report to.
+// Ordering of daemons and choice of the parent.
 #include "include/quota/usage_tree.h"
 
 #include <xxhash.h>
@@ -54,7 +54,7 @@
   const bool was_suspended = now - last_call_at_ > options_.parent_timeout;
   last_call_at_ = now;
   if (was_suspended) {
-    last_response_at_ = now;  // It has not listened meanwhile.
+    last_response_at_ = now;  // This process received nothing while suspended.
   }
   if (parent_ && now - last_response_at_ > options_.parent_timeout) {
     unresponsive_[*parent_] = now;
--- a/tests/crash_suspects_test.cc
+++ b/tests/crash_suspects_test.cc
@@ -1,4 +1,4 @@
-// Which requests are held responsible for the crashes of a target.
+// Attribution of target crashes to requests.
 #include "include/quarantine/crash_suspects.h"
 
 #include <gtest/gtest.h>
@@ -25,14 +25,14 @@
 
 class crash_suspects_test : public testing::Test {
  protected:
-  // `request` is in progress when the target dies; found 5 ms later.
+  // `request` is in progress when the target crashes; detected 5 ms later.
   void Crash(crash_suspects& suspects, const request_fingerprint& request) {
     now_ += seconds(5);
     suspects.OnInterrupted(request, now_ - milliseconds(10), now_);
     published_ = suspects.OnTargetCrash(now_ + milliseconds(5));
   }
 
-  // Targets crash that run other requests each time.
+  // Target crashes, each with a different request in progress.
   void CrashWithout(crash_suspects& suspects) {
     for (std::size_t i = 0; i < quarantine_options::kUnrelatedCrashThreshold;
          ++i) {
@@ -50,9 +50,9 @@
   std::vector<quarantine_entry> published_;
 };
 
-// One caller sends a request that crashes what runs it, again as soon as the
-// target is back. Everybody else's requests in progress are lost with it each
-// time, until the request is refused.
+// Guards against one caller that keeps sending a request that crashes the
+// target, again as soon as the target is restarted: each crash also loses all
+// other requests in progress, until the request is refused.
 TEST_F(crash_suspects_test, ASecondCrashQuarantinesTheRequest) {
   crash_suspects suspects(incarnation_id{1});
   Crash(suspects, kCrashing);
@@ -62,9 +62,9 @@
   EXPECT_FALSE(Refuses(suspects, Request("/sign/other")));
 }
 
-// The request comes again beside another target. A daemon that is not told
-// starts to count from the beginning, and each target of the service dies
-// twice.
+// Guards against daemons that count only the crashes of their own target, with
+// which a request sent to target after target crashes each target of the
+// service twice.
 TEST_F(crash_suspects_test, CrashesOfTwoTargetsAddUp) {
   crash_suspects one(incarnation_id{1});
   crash_suspects other(incarnation_id{2});
@@ -77,7 +77,7 @@
 }
 
 // Guards against harmless requests that take seconds being refused where
-// targets crash often.
+// targets often crash for other reasons.
 TEST_F(crash_suspects_test, ALongRequestAmongUnrelatedCrashesIsServed) {
   crash_suspects suspects(incarnation_id{1});
   CrashWithout(suspects);
@@ -90,7 +90,8 @@
   }
 }
 
-// Guards against a request being refused for two crashes that it was there at.
+// Guards against a request being refused for being in progress at two of many
+// crashes.
 TEST_F(crash_suspects_test, AmongUnrelatedCrashesTheThirdQuarantines) {
   crash_suspects one(incarnation_id{1});
   crash_suspects other(incarnation_id{2});
@@ -100,11 +101,12 @@
     other.Import(published_, now_);
     EXPECT_EQ(Refuses(one, kCrashing), crash == 3) << crash;
   }
-  // It heard of no other crashes.
+  // It received no other crashes.
   EXPECT_TRUE(Refuses(other, kCrashing));
 }
 
-// Guards against a request that is served again since others crash targets.
+// Guards against a quarantined request that is served again because other
+// requests crash targets.
 TEST_F(crash_suspects_test, AfterThreeCrashesUnrelatedOnesChangeNothing) {
   crash_suspects suspects(incarnation_id{1});
   for (int crash = 0; crash < 3; ++crash) {
@@ -114,8 +116,9 @@
   EXPECT_TRUE(Refuses(suspects, kCrashing));
 }
 
-// A target that lives loses single answers. Callers repeat those requests, as
-// they should, and would be refused if each lost answer counted as a crash.
+// Guards against single lost answers counting as crashes: a live target loses
+// some, callers rightly repeat those requests, and the repeats would be
+// refused.
 TEST_F(crash_suspects_test, LostAnswersOfALiveTargetAreNoCrash) {
   crash_suspects suspects(incarnation_id{1});
   for (int i = 0; i < 5; ++i) {
@@ -128,9 +131,9 @@
   EXPECT_FALSE(Refuses(suspects, kCrashing));
 }
 
-// Callers that all ask for the same thing share one fingerprint. If two crashes
-// that have other causes counted against it, a whole kind of work would be
-// refused for a minute.
+// Guards against a whole kind of request being refused for a minute: callers
+// that send identical requests share one fingerprint, and two crashes with
+// other causes counted against it.
 TEST_F(crash_suspects_test, ARequestThatAlsoCompletesIsNoSuspect) {
   crash_suspects suspects(incarnation_id{1});
   for (int i = 0; i < 4; ++i) {
@@ -141,10 +144,9 @@
   EXPECT_TRUE(published_.empty());
 }
 
-// A target that has just started goes down and up by turns, and never gets to
-// answer one of the lookups that all ask for the same thing. Other targets
-// answer thousands of them. If two such deaths counted, every daemon would
-// refuse that lookup for a minute.
+// Guards against every daemon refusing, for a minute, a lookup that many
+// callers send: a target that has just started crashes repeatedly before it
+// answers one, while other targets answer thousands.
 TEST_F(crash_suspects_test, ARequestThatCompletesAtOtherTargetsIsNotRefused) {
   crash_suspects flapping(incarnation_id{1});
   crash_suspects beside_callers(incarnation_id{2});
@@ -155,15 +157,16 @@
   }
   EXPECT_TRUE(Refuses(flapping, kCrashing));
   EXPECT_FALSE(Refuses(beside_callers, kCrashing));
-  // The first one is told before anything has completed, the second after.
+  // The first suspicion arrives before anything has completed, the second
+  // after.
   crash_suspects newcomer(incarnation_id{3});
   newcomer.Import(published_, now_);
   newcomer.OnCompleted(kCrashing, now_ + milliseconds(1));
   EXPECT_FALSE(Refuses(newcomer, kCrashing));
 }
 
-// Hundreds of requests are in progress when a target dies. Telling of all of
-// them at each crash would be the larger part of what daemons send.
+// Hundreds of requests are in progress when a target crashes. Publishing all of
+// them at each crash would be the larger part of the traffic between daemons.
 TEST_F(crash_suspects_test, PublishesOnlyTheMostRecentlyStarted) {
   crash_suspects suspects(incarnation_id{1});
   for (int i = 0; i < 200; ++i) {
@@ -176,11 +179,11 @@
   EXPECT_EQ(published.front().fingerprint, kCrashing);
 }
 
-// A daemon is told by those only that have a connection to it. With 60 daemons
-// each heard of 8 to 18 of 26 crashes, and one request crashed 13 targets. What
-// is news is passed on: here each of 300 daemons has connections to eight, and
-// all refuse the request a few hops after its second crash. Then nobody tells
-// any more.
+// Guards against crashes known only to the daemons with a connection to the
+// originator: with 60 daemons each received 8 to 18 of 26 crashes, and one
+// request crashed 13 targets. Updates are forwarded: here each of 300 daemons
+// has connections to eight, and all refuse the request a few hops after its
+// second crash. Then forwarding ends.
 TEST_F(crash_suspects_test, ForwardingReachesAllDaemonsInAFewHops) {
   constexpr std::size_t kDaemons = 300;
   constexpr std::size_t kConnections = 8;
@@ -219,10 +222,12 @@
   EXPECT_LE(frames, 2 * kDaemons * kConnections);
 }
 
-// Calls stay in their data centre, and so do connections: of 300 daemons in
-// three, 200 never heard of the crashes in the third, and each data centre lost
-// targets of its own to the same request (log: no suspects_heard at 40 of 60
-// daemons). With a few told at random all hear, and it ends.
+// Guards against crashes unknown in other data centres. Calls and thus
+// connections stay in their data centre: of 300 daemons in three, 200 never
+// received the crashes in the third, and each data centre lost targets of its
+// own to the same request (log: no suspects_heard at 40 of 60 daemons). With a
+// few recipients chosen at random all daemons receive them, and forwarding
+// ends.
 TEST_F(crash_suspects_test, ForwardingReachesOtherDataCentres) {
   constexpr std::size_t kDaemons = 300;
   constexpr std::size_t kDataCentres = 3;
@@ -264,12 +269,12 @@
   }
 }
 
-// Two machines are lost, and at both the same slow lookup was in progress, as
-// many callers send it. Daemons that have not seen it complete lately, such as
-// one that has just started, refused all of that kind for a minute (log:
-// refused as quarantined, 72 of some 300 such lookups in 20 s). Whoever has
-// seen it complete tells the daemon that suspects it, and the word goes on from
-// there.
+// Guards against a harmless slow lookup being refused for a minute because it
+// was in progress at two machines that were lost. Daemons that had not seen it
+// complete recently, such as one that had just started, refused all of that
+// kind (log: refused as quarantined, 72 of some 300 such lookups in 20 s). A
+// daemon that has seen it complete notifies the daemon that suspects it, which
+// forwards the clearing.
 TEST_F(crash_suspects_test, ADaemonThatSawItCompleteClearsIt) {
   crash_suspects one(incarnation_id{1});
   crash_suspects observer(incarnation_id{2});
@@ -289,15 +294,15 @@
   EXPECT_EQ(newcomer.OnCleared(updates, now_), reply);
   EXPECT_FALSE(Refuses(one, kCrashing));
   EXPECT_FALSE(Refuses(newcomer, kCrashing));
-  // It ends: what is known to be cleared is no news.
+  // Forwarding ends: a repeated clearing is no update.
   EXPECT_TRUE(one.OnCleared(reply, now_).empty());
-  // And the memory of completion has passed without it being refused again.
+  // It is also not refused once the completion retention has passed.
   now_ += seconds(30);
   EXPECT_FALSE(Refuses(one, kCrashing));
 }
 
-// Nobody had seen the lookup complete when it was suspected. One that was in
-// progress elsewhere then completes.
+// No daemon had seen the lookup complete when it was suspected; another run of
+// it, in progress elsewhere, completes afterwards.
 TEST_F(crash_suspects_test, ASuspectThatCompletesIsClearedEverywhere) {
   crash_suspects one(incarnation_id{1});
   crash_suspects other(incarnation_id{2});
@@ -312,8 +317,8 @@
   EXPECT_FALSE(Refuses(one, kCrashing));
 }
 
-// A request that crashes each target never completes, and stays refused
-// whatever else completes and is cleared.
+// A request that crashes every target never completes, and stays refused
+// whatever other requests complete and are cleared.
 TEST_F(crash_suspects_test, OtherCompletionsDoNotClearACrashingRequest) {
   crash_suspects suspects(incarnation_id{1});
   const request_fingerprint harmless = Request("/look/same");
@@ -327,8 +332,8 @@
   EXPECT_TRUE(Refuses(suspects, kCrashing));
 }
 
-// Guards against old copies of a suspect that are news again once the memory of
-// its completion has been taken by other requests.
+// Guards against duplicates of a suspicion that count as new once other
+// requests have taken the slot of its completion.
 TEST_F(crash_suspects_test, ADelayedDuplicateIsNotForwarded) {
   crash_suspects one(incarnation_id{1});
   crash_suspects other(incarnation_id{2});
@@ -342,8 +347,8 @@
   EXPECT_TRUE(other.OnCleared({kCrashing}, now_ + seconds(1)).empty());
 }
 
-// Guards against telling without end where daemons read late: copies of what
-// was cleared long ago were passed on as news, by each to all.
+// Guards against endless forwarding where daemons read with a delay: duplicates
+// of what was cleared long ago were forwarded as new, by each daemon to all.
 TEST_F(crash_suspects_test, ForwardingEndsWhenDaemonsReadLate) {
   constexpr std::size_t kDaemons = 20;
   constexpr std::size_t kSuspects = 16;
@@ -376,8 +381,8 @@
       0, {.to = 0, .entries = daemons[0].OnTargetCrash(now_), .cleared = {}});
   std::size_t others = 0;
   std::size_t frames = 0;
-  // Each may be told once by each other of each suspect, and that it is
-  // cleared.
+  // Each daemon may send each other one every suspect once, and its clearing
+  // once.
   constexpr std::size_t kMaxFrames = 2 * kSuspects * kDaemons * kDaemons;
   while (!in_flight.empty() && frames <= kMaxFrames) {
     ++frames;
@@ -403,8 +408,8 @@
   EXPECT_LE(frames, kMaxFrames);
 }
 
-// Guards against a request that isn't refused since many others were told of
-// before it.
+// Guards against a request that is not refused because the deduplication cache
+// is full.
 TEST_F(crash_suspects_test, AFullDedupCacheStillImports) {
   crash_suspects one(incarnation_id{1});
   crash_suspects other(incarnation_id{2});
@@ -423,8 +428,8 @@
   EXPECT_TRUE(Refuses(other, kCrashing));
 }
 
-// Guards against a crash that is ignored for good since the request had
-// completed shortly before it was told first.
+// Guards against a crash that is ignored permanently because the request had
+// completed shortly before the crash was first received.
 TEST_F(crash_suspects_test, ASuspicionRejectedOnceMayBeImportedLater) {
   crash_suspects one(incarnation_id{1});
   crash_suspects other(incarnation_id{2});
@@ -437,8 +442,8 @@
   EXPECT_TRUE(Refuses(other, kCrashing));
 }
 
-// A daemon starts after both crashes. Nobody tells it of them again, and the
-// request would crash its target too.
+// Guards against a daemon that starts after both crashes and never receives
+// them, so that the request crashes its target too.
 TEST_F(crash_suspects_test, ADaemonThatConnectsLaterReceivesASnapshot) {
   crash_suspects one(incarnation_id{1});
   Crash(one, kCrashing);
--- a/tests/organisation_table_test.cc
+++ b/tests/organisation_table_test.cc
@@ -1,4 +1,4 @@
-// Organisations by their keys, and what a request with a key may do.
+// Organisations by API key, and the rank and verdict of a request with a key.
 #include "include/organisation/organisation_table.h"
 
 #include <gtest/gtest.h>
@@ -34,7 +34,8 @@
   }
 }
 
-// Guards against a request that is counted for the wrong one of two holders.
+// Guards against a request that is counted for the wrong one of two holders of
+// a key.
 TEST(OrganisationTableTest, ASharedKeyIsRefusedWithoutPrintingIt) {
   std::vector<organisation> shared = TwoOrganisations();
   shared[1].api_keys = {"key-3", "key-1"};
@@ -113,8 +114,8 @@
   EXPECT_EQ(CheckKey({.api_key = "key-9"}).verdict, key_verdict::kNotNeeded);
 }
 
-// Guards against a withdrawn key that a daemon goes on taking while it can't
-// learn of the withdrawal.
+// Guards against a withdrawn key that a daemon continues to accept while it
+// cannot receive the withdrawal.
 TEST(KeyCheckTest, AnOutdatedConfigurationConfirmsNoKeys) {
   const organisation_table table = Table();
   const auto check = [&](std::optional<milliseconds> age, bool is_public) {
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -12,8 +12,9 @@
 const request_fingerprint kRequest = Fingerprint(
     {.service = "contracts", .method = "sign", .body = "x", .label = {}});
 
-// One request kills each target that runs it, and its caller sends it again
-// and again. Without quarantine all targets of the service die one by one.
+// Guards against one request that crashes every target that runs it while its
+// caller keeps retrying: without quarantine all targets of the service go down
+// one by one.
 TEST(QuarantineTest, TwoCrashesQuarantineForABoundedTime) {
   quarantine table({.period = milliseconds(1000)});
   table.OnCrash(kRequest, crash_id{1}, kStart);
@@ -25,10 +26,11 @@
   EXPECT_EQ(table.Remaining(kRequest, kStart + seconds(1)), milliseconds(0));
 }
 
-// The caller of such a request asks again for longer than it is refused. After
-// the first period it crashed every target that it came to for another minute,
-// 52 in the soak (log: target_crashed, and suspects_heard news=0), since both
-// places for its crashes were taken and one more was not counted.
+// Guards against a request whose caller keeps retrying for longer than the
+// quarantine. After the first period it crashed every target that received it
+// for another minute, 52 in the soak (log: target_crashed, and suspects_heard
+// news=0), since both slots for its crashes were taken and one more was not
+// counted.
 TEST(QuarantineTest, AnotherCrashAfterThePeriodQuarantinesAtOnce) {
   quarantine table({.period = milliseconds(1000)});
   quarantine other({.period = milliseconds(1000)});
@@ -48,7 +50,7 @@
                   .remaining = milliseconds(1000)},
                  now);
   }
-  // Two at first, then one a period.
+  // Two at first, then one per period.
   EXPECT_EQ(crashes, 11U);
 }
 
@@ -60,8 +62,9 @@
   EXPECT_EQ(table.Remaining(kRequest, kStart), milliseconds(0));
 }
 
-// Two daemons tell each other the same entry for ever. If each telling moved
-// its end, the request would stay refused after the bug is long mended.
+// Guards against a request that stays refused long after the bug is fixed,
+// because two daemons keep sending each other the same entry and each import
+// extends it.
 TEST(QuarantineTest, RepeatedImportsDoNotProlongAnEntry) {
   quarantine one({.period = milliseconds(1000)});
   quarantine other({.period = milliseconds(1000)});
--- a/tests/quota_ledger_test.cc
+++ b/tests/quota_ledger_test.cc
@@ -1,4 +1,4 @@
-// Quotas that daemons keep together, played by a model of a fleet on a virtual
+// Quotas enforced jointly by daemons, on a model of a fleet with a virtual
 // clock.
 #include "include/quota/quota_ledger.h"
 
@@ -19,7 +19,8 @@
 
 constexpr milliseconds kWindow{5000};
 
-// What may run in a window of five seconds, with a quarter and 20 more.
+// Maximum number of requests admitted in a window of five seconds: 25% above
+// the quota, and 20 more.
 double Allowed(double rate, double burst) {
   return (rate * 5 + burst) * 1.25 + 20;
 }
@@ -41,7 +42,7 @@
   }
 }
 
-// Guards against limits that refuse callers who keep to a few daemons.
+// Guards against limits that refuse callers who send to only a few daemons.
 TEST_P(quota_fleet_test, UnevenCallersGetTheWholeQuota) {
   fleet all({.daemons = GetParam(), .rate = 100, .burst = 100, .spread = 0.1});
   all.Run(seconds(6), 60);
@@ -61,7 +62,7 @@
   EXPECT_LT(static_cast<double>(all.admitted()), 1.1 * 200 * 10);
 }
 
-// Guards against callers who are refused long after a surge is over.
+// Guards against callers who are refused long after the end of a surge.
 TEST_P(quota_fleet_test, AfterASurgeCallersAreServedAgain) {
   fleet all = Make(200);
   all.Run(seconds(6), 120);
@@ -72,8 +73,7 @@
   EXPECT_EQ(all.refused(), 0U);
 }
 
-// Guards against parts of a fleet that can't reach each other and use the
-// whole quota each.
+// Guards against network partitions of the fleet that use the whole quota each.
 TEST_P(quota_fleet_test, PartitionsKeepTheQuotaTogether) {
   for (const bool one_by_one : {false, true}) {
     fleet all = Make(200);
@@ -88,8 +88,8 @@
   }
 }
 
-// Guards against a restart of all daemons, each of which has forgotten what was
-// spent and spends a burst anew.
+// Guards against a restart of all daemons, none of which knows what was spent,
+// so that each admits a new burst.
 TEST_P(quota_fleet_test, ARestartOfAllGrantsNoNewBurst) {
   fleet all = Make(200);
   all.Run(seconds(6), 120);
@@ -143,7 +143,7 @@
       ledger.Admit(IdOfOrganisation("north"), 1, time_point()).admitted);
 }
 
-// Guards against daemons that report to each other in a ring.
+// Guards against daemons that report to each other in a cycle.
 TEST(UsageTreeTest, EveryDaemonReportsToAPredecessorAndOneIsRoot) {
   std::vector<std::string> ips;
   ips.reserve(300);
@@ -169,7 +169,7 @@
   EXPECT_EQ(first, 1);
 }
 
-// Guards against a daemon that is gone and that others go on reporting to.
+// Guards against daemons that keep reporting to a parent that is gone.
 TEST(UsageTreeTest, AnUnresponsiveParentIsReplaced) {
   usage_tree tree({.self = "10.0.0.3"});
   tree.SetDaemons({"10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4", "10.0.0.5"});
--- a/tests/suspect_order_test.cc
+++ b/tests/suspect_order_test.cc
@@ -1,7 +1,8 @@
-// Whether telling of suspects ends, in orders of events that the test chooses.
-// Daemons are their crash_suspects, with what executor.cc, peer_server.cc and
-// peer_link.cc do with what those return; connections keep their order, and
-// the test chooses which of them brings its next frame.
+// Termination of forwarding suspects, in orders of events that the test
+// controls. Daemons are modelled by their crash_suspects, with the handling of
+// its results as in executor.cc, peer_server.cc and peer_link.cc; connections
+// preserve order, and the test chooses which connection delivers its next
+// frame.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,9 +24,9 @@
 namespace {
 
 constexpr std::size_t kDaemons = 12;
-// Frames after which a test takes it that there is no end.
+// Number of frames after which a test assumes that forwarding is endless.
 constexpr std::size_t kMaxFrames = 100000;
-// Likewise. All that end have fewer waiting at any time.
+// Likewise for pending frames. Cases that end have fewer pending at any time.
 constexpr std::size_t kMaxPending = 100000;
 // As crash_suspects::kCompletedSlots, which is private.
 constexpr std::size_t kSlots = 4096;
@@ -35,7 +36,7 @@
       {.service = "contracts", .method = path, .body = {}, .label = {}});
 }
 
-// Different requests whose places are the same, as many as `count`.
+// Returns `count` different requests that share one slot.
 std::vector<request_fingerprint> InOneSlot(std::size_t count) {
   const std::size_t slot = Request("/alike/0").low % kSlots;
   std::vector<request_fingerprint> requests;
@@ -48,7 +49,7 @@
   return requests;
 }
 
-// Different requests with a place each.
+// Returns `count` different requests with a slot each.
 std::vector<request_fingerprint> InOwnSlots(std::size_t count) {
   std::map<std::size_t, request_fingerprint> requests_by_slot;
   for (std::size_t i = 0; requests_by_slot.size() < count; ++i) {
@@ -71,15 +72,15 @@
 struct result {
   bool ended = false;
   std::size_t delivered = 0;
-  std::size_t updates = 0;      // Frames passed on.
+  std::size_t updates = 0;      // Frames forwarded.
   std::size_t max_pending = 0;  // Frames on all connections at once.
-  // Frames delivered, by what they were to the receiver.
+  // Frames delivered, by their effect on the receiver.
   std::map<std::string, std::size_t> kinds;
 };
 
 std::ostream& operator<<(std::ostream& out, const result& value) {
   out << (value.ended ? "ended" : "NOT ENDED") << " delivered "
-      << value.delivered << " passed on " << value.updates << " most waiting "
+      << value.delivered << " forwarded " << value.updates << " max pending "
       << value.max_pending;
   for (const auto& [kind, count] : value.kinds) {
     out << ", " << kind << " " << count;
@@ -87,7 +88,7 @@
   return out;
 }
 
-// Daemons with `links` connections between each two of them.
+// A fleet with `links` connections between each pair of daemons.
 class fleet {
  public:
   using chooser = std::function<std::size_t(std::size_t pending)>;
@@ -112,7 +113,8 @@
     }
   }
 
-  // Brings what waits on one connection; its answer goes back over the same.
+  // Delivers the next frame of one connection; the reply is sent back over the
+  // same.
   void Deliver(std::size_t connection) {
     std::deque<frame>& queue = connections_[connection];
     const frame received = std::move(queue.front());
@@ -145,7 +147,7 @@
     }
   }
 
-  // Until nothing waits, or `most` frames were delivered.
+  // Delivers until nothing is pending, or `max_frames` frames were delivered.
   result Run(std::size_t max_frames, const chooser& choose) {
     while (!busy_.empty() && result_.delivered < max_frames &&
            pending_ < kMaxPending) {
@@ -155,7 +157,8 @@
     return result_;
   }
 
-  // The first frame between two daemons on the first of their connections.
+  // Delivers the first frame between two daemons on the first of their
+  // connections.
   void DeliverFrom(std::size_t from, std::size_t to) {
     Deliver(Index(from, to, 0));
   }
@@ -163,7 +166,7 @@
                                         std::size_t to) const {
     return connections_[Index(from, to, 0)].size();
   }
-  // Daemons from `first` on read nothing until Continue().
+  // Daemons from index `first` on read nothing until Continue().
   void Pause(std::size_t first) {
     first_paused_ = first;
     std::erase_if(busy_, [this](std::size_t each) { return Paused(each); });
@@ -177,7 +180,7 @@
       }
     }
   }
-  // What one that connects tells of what it knew, on one connection.
+  // Sends a snapshot, as a daemon does when it connects, on one connection.
   void SendSnapshot(std::size_t from,
                     std::size_t to,
                     const std::vector<quarantine_entry>& known) {
@@ -210,7 +213,8 @@
     result_.max_pending = std::max(result_.max_pending, ++pending_);
   }
 
-  // peers_.Tell() and origin_.TellSuspects(): all, the sender too.
+  // Sends to all other daemons over all links, the one that an update came from
+  // included, as the peer server and the origin do.
   void Publish(std::size_t from, const frame& update) {
     for (std::size_t link = 0; link < links_; ++link) {
       for (std::size_t to = 0; to < daemons_.size(); ++to) {
@@ -224,7 +228,8 @@
   const std::size_t links_;
   std::vector<crash_suspects> daemons_;
   std::vector<std::deque<frame>> connections_;
-  std::vector<std::size_t> busy_;  // With something on them, oldest first.
+  // Connections with pending frames, oldest first.
+  std::vector<std::size_t> busy_;
   std::size_t pending_ = 0;
   std::size_t first_paused_ = SIZE_MAX;
   time_point now_{seconds(1000)};
@@ -234,7 +239,7 @@
 fleet::chooser Oldest() {
   return [](std::size_t) { return 0; };
 }
-// One connection at random: late copies on some.
+// A random connection, which delays duplicates on some.
 fleet::chooser AtRandom(std::uint32_t seed) {
   return [random = std::mt19937(seed)](std::size_t pending) mutable {
     return random() % pending;
@@ -244,19 +249,22 @@
   return [](std::size_t pending) { return pending - 1; };
 }
 
-// What a fleet of this size may take for `suspects` that are told once and
-// cleared once by each daemon, over all links, each answered once.
+// Upper bound of the frames that a fleet of this size needs for `suspects` that
+// are forwarded once and cleared once by each daemon, over all links, each
+// answered once.
 constexpr std::size_t Bound(std::size_t suspects) {
   return 4 * kDaemons * kDaemons * 2 * (suspects + 1);
 }
 
-// One crash; each request completes elsewhere while that is told.
+// One crash; each request completes elsewhere while the suspects are being
+// forwarded.
 result CrashAndComplete(const std::vector<request_fingerprint>& requests,
                         const fleet::chooser& choose,
                         std::size_t between) {
   fleet all(kDaemons);
   all.Crash(0, requests);
-  // A few are told, then those that run the repeated requests clear them.
+  // Some frames are delivered, then the daemons that run the repeated requests
+  // clear them.
   std::size_t at = 1;
   for (const request_fingerprint& request : requests) {
     all.Run(all.so_far().delivered + between, choose);
@@ -300,8 +308,8 @@
   }
 }
 
-// One request in progress at many targets that crash at one moment; nobody
-// completes it.
+// One request in progress at many targets that crash at the same time; it never
+// completes.
 result ManyCrashes(std::size_t crashes, const fleet::chooser& choose) {
   fleet all(kDaemons);
   for (std::size_t i = 0; i < crashes; ++i) {
@@ -328,21 +336,22 @@
   EXPECT_TRUE(ManyCrashes(9, Oldest()).ended) << "oldest first";
 }
 
-// The shortest order: two daemons, one connection, two requests of one place.
-// One has both cleared while a late copy of their suspicion is on its way.
+// The shortest failing order: two daemons, one connection, two requests in one
+// slot. One daemon has cleared both while a delayed duplicate of their
+// suspicion is in transit.
 TEST(suspect_order_test, TwoDaemonsEnd) {
   const auto requests = InOneSlot(2);
   fleet both(2, 1);
   both.Crash(0, requests);
-  both.DeliverFrom(0, 1);  // Passed on, back to 0 as well: the late copy.
+  both.DeliverFrom(0, 1);  // Forwarded, also back to 0: the delayed duplicate.
   both.Complete(0, requests[0]);
   both.Complete(0, requests[1]);
   const result got = both.Run(10000, Oldest());
   EXPECT_TRUE(got.ended) << got;
 }
 
-// All are told before the first is cleared, as at a fleet with time to spare.
-// A daemon that heard nothing of the clearing connects then and tells.
+// All daemons receive the suspects before the first is cleared, as in a fleet
+// with idle capacity.
 TEST(suspect_order_test, SuspectsInOneSlotClearedLaterEnd) {
   const auto requests = InOneSlot(2);
   fleet all(kDaemons);
@@ -364,14 +373,14 @@
     all.Complete(1, requests[0]);
     all.Complete(2, requests[1]);
     EXPECT_TRUE(all.Run(kMaxFrames, AtRandom(seed)).ended);
-    all.SendSnapshot(5, 6, known);  // On a connection that was slow to be made.
+    all.SendSnapshot(5, 6, known);  // On a connection that was slow to open.
     endless += all.Run(kMaxFrames, AtRandom(seed)).ended ? 0 : 1;
   }
   EXPECT_EQ(endless, 0U);
 }
 
-// Suspects as a day has them: by chance some have one place. What is told
-// before the clearing begins is all but `late` frames.
+// A realistic number of suspects, of which some share a slot by chance. All but
+// `delayed` frames are delivered before the clearing begins.
 TEST(suspect_order_test, ManySuspectsWithDelayedDuplicatesEnd) {
   for (const std::size_t suspects : {32U, 96U, 192U}) {
     std::vector<request_fingerprint> requests;
@@ -407,9 +416,9 @@
   }
 }
 
-// Some daemons stand still from the crash on, until the others have told each
-// other all; then they read what has come, in any order of connections. The
-// requests are completed after the crash was told to all that run.
+// Some daemons are paused from the crash on until the others have exchanged all
+// updates; then they read what is pending, in any order of connections. The
+// requests complete after all running daemons have received the crash.
 std::size_t EndlessWithPauses(std::size_t daemons,
                               std::size_t paused,
                               const std::vector<request_fingerprint>& requests,
@@ -467,8 +476,8 @@
   EXPECT_EQ(EndlessWithPauses(30, 4, InOneSlot(2), false), 0U);
 }
 
-// As many as the crashes of a day leave, not chosen: of 192, four pairs have
-// one place, of 96 none.
+// As many suspects as the crashes of one day left, not chosen: of 192, four
+// pairs share a slot, of 96 none.
 TEST(suspect_order_test, OnePausedDaemonWithManySuspectsEnds) {
   for (const std::size_t suspects : {96U, 192U}) {
     std::vector<request_fingerprint> requests;
@@ -479,7 +488,8 @@
   }
 }
 
-// So many of the frames that tell of the crash are late; the rest is over.
+// `delayed` of the frames that publish the crash are still pending when the
+// clearing begins; all others are delivered.
 TEST(suspect_order_test, DelayedDuplicatesInOneSlotEnd) {
   for (const std::size_t delayed : {0U, 1U, 3U, 10U, 30U, 100U}) {
     std::size_t endless = 0;
@@ -495,13 +505,13 @@
       all.Complete(2, requests[1]);
       endless += all.Run(kMaxFrames, choose).ended ? 0 : 1;
     }
-    std::cout << "LATE copies " << delayed << ": endless " << endless
+    std::cout << "DELAYED duplicates " << delayed << ": endless " << endless
               << " of 20\n";
     EXPECT_EQ(endless, 0U);
   }
 }
 
-// Several daemons connect and tell what they knew before the clearing.
+// Several daemons connect and send snapshots from before the clearing.
 TEST(suspect_order_test, SeveralSnapshotsSentAgainEnd) {
   for (const std::size_t senders : {1U, 3U, 11U, 50U}) {
     std::size_t endless = 0;
@@ -520,13 +530,13 @@
       }
       endless += all.Run(kMaxFrames, choose).ended ? 0 : 1;
     }
-    std::cout << "ANEW telling " << senders << ": endless " << endless
+    std::cout << "SNAPSHOT senders " << senders << ": endless " << endless
               << " of 20\n";
     EXPECT_EQ(endless, 0U);
   }
 }
 
-// More suspects than a daemon keeps: what had to make room is news again.
+// More suspects than a daemon retains: an evicted one counts as new again.
 TEST(suspect_order_test, MoreSuspectsThanCapacityEnd) {
   for (const std::size_t crashes : {256U, 258U, 320U}) {
     fleet all(4, 1);
@@ -538,16 +548,16 @@
       }
       all.Crash(i % 4, requests);
     }
-    // Each crash is told to 3, passed on by each of those to 3.
+    // Each crash is sent to 3 daemons and forwarded by each of those to 3.
     const std::size_t max_frames = 2 * crashes * 12;
     const result got = all.Run(max_frames, AtRandom(1));
-    std::cout << "KEPT suspects " << next << ": " << got << "\n";
+    std::cout << "CAPACITY suspects " << next << ": " << got << "\n";
     EXPECT_TRUE(got.ended);
   }
 }
 
-// Ten seconds of a busy daemon: whatever completes there takes the place of
-// what was cleared.
+// Ten seconds of a busy daemon: requests that complete there take the slot of
+// the one that was cleared.
 TEST(suspect_order_test, UnrelatedCompletionsDoNotPreventTheEnd) {
   const auto requests = InOneSlot(2);
   for (const bool everywhere : {false, true}) {
@@ -558,7 +568,7 @@
     all.Complete(1, requests[0]);
     result got;
     for (std::size_t i = 0; i < 100; ++i) {
-      // Harmless and never suspected, at one daemon or at all in turn.
+      // Harmless and never suspected; at one daemon, or at all in turn.
       all.Complete(everywhere ? i % kDaemons : 2, requests[1]);
       got = all.Run(all.so_far().delivered + 40, choose);
       if (got.ended) {
--- a/tests/suspect_sharing_test.cc
+++ b/tests/suspect_sharing_test.cc
@@ -1,4 +1,4 @@
-// How many frames it takes to tell daemons of suspects.
+// Number of frames that publish suspects.
 #include "src/forward/suspect_sharing.h"
 
 #include <gtest/gtest.h>
@@ -43,8 +43,8 @@
       }};
 };
 
-// Guards against a suspect that crashes the next target while its telling
-// waits.
+// Guards against a suspect that crashes the next target while its publication
+// is delayed.
 TEST_F(suspect_sharing_test, SuspectsArePublishedAtOnce) {
   sharing_.Publish({.entries = {{.fingerprint = Request(1)}}, .cleared = {}},
                    suspects_source::kLocal);
@@ -55,7 +55,7 @@
   EXPECT_EQ(sent_[1].max_peers, kForwardFanout);
 }
 
-// Guards against one frame to each daemon for each suspect that completes.
+// Guards against one frame per daemon for each suspect that completes.
 TEST_F(suspect_sharing_test, ClearedRequestsAreBatched) {
   for (std::uint64_t i = 0; i < 50; ++i) {
     sharing_.Publish({.entries = {}, .cleared = {Request(i)}},
@@ -71,7 +71,7 @@
   EXPECT_EQ(sent_[1].max_peers, kForwardFanout);
 }
 
-// A daemon without sockets: what it sends to others is posted.
+// A daemon without sockets: frames to others are posted.
 struct simulated_daemon {
   simulated_daemon(boost::asio::io_context& context,
                    std::uint64_t number,
@@ -84,8 +84,8 @@
   std::size_t updates = 0;
 };
 
-// Guards against a crash of several targets of which each daemon hears some
-// hundred times as much as is news to it.
+// Guards against a simultaneous crash of several targets after which each
+// daemon receives some hundred times as many frames as updates.
 TEST(SuspectSharingFleetTest, FramesPerUpdateAreBounded) {
   constexpr std::size_t kDaemons = 59;
   constexpr std::size_t kCrashes = 18;
@@ -133,8 +133,8 @@
         {.entries = daemons[crash]->suspects.OnTargetCrash(now), .cleared = {}},
         suspects_source::kLocal);
   }
-  context.poll();  // All that is told at once arrives.
-  // Each is sent again by its caller, and completes.
+  context.poll();  // Delivers what is published at once.
+  // Each request is retried by its caller, and completes.
   for (std::uint64_t each = 1; each <= suspect; ++each) {
     simulated_daemon& at = *daemons[random() % kDaemons];
     if (at.suspects.OnCompleted(Request(each), now)) {
@@ -143,7 +143,7 @@
     }
   }
   context.restart();
-  context.run();  // It ends.
+  context.run();  // Returns only if forwarding ends.
   for (const auto& daemon : daemons) {
     EXPECT_TRUE(daemon->suspects.empty());
     EXPECT_LE(daemon->frames, kMaxFramesPerUpdate * daemon->updates);
