--- a/tests/quota_ledger_test.cc
+++ b/tests/quota_ledger_test.cc
@@ -19,8 +19,8 @@
 
 constexpr milliseconds kWindow{5000};
 
-// Maximum number of requests admitted in a window of five seconds: 25% above
-// the quota, and 20 more.
+// Maximum number of requests admitted in a window of five seconds: a quarter
+// above the quota, and 20 more.
 double Allowed(double rate, double burst) {
   return (rate * 5 + burst) * 1.25 + 20;
 }
