--- a/tools/quota_fleet.h
+++ b/tools/quota_fleet.h
@@ -233,7 +233,7 @@
         daemon& back = *daemons_[index];
         if (back.start == start) {
           back.asked.reset();
-          back.tree.OnAnswer(ips_[to], now_);
+          back.tree.OnResponse(ips_[to], now_);
           back.ledger.OnQuota(answer, now_);
         }
       });
