--- a/include/organisation/key_check.h
+++ b/include/organisation/key_check.h
@@ -1,4 +1,4 @@
-// key_check: on whose behalf a request comes, by its API key.
+// key_check: determines by API key which organisation a request belongs to.
 //
 // Pure logic.
 #pragma once
@@ -15,45 +15,47 @@
 
 enum class key_verdict : std::uint8_t {
   kNotNeeded,    // Served without an organisation.
-  kHeld,         // By an organisation.
-  kNotHeld,      // By none, or the request has no key.
-  kUnconfirmed,  // The configuration is too old to tell.
+  kHeld,         // Held by an organisation.
+  kNotHeld,      // Held by none, or the request has no key.
+  kUnconfirmed,  // The configuration is too old to decide.
 };
 
 inline constexpr enum_table<key_verdict, 4> kKeyVerdictNames(
     {"not_needed", "held", "not_held", "unconfirmed"});
 
-struct key_question {
-  const organisation_table* organisations = nullptr;  // nullptr without keys.
-  bool is_public = false;                             // The route.
+struct key_check_input {
+  const organisation_table* organisations =
+      nullptr;             // nullptr if API keys are not used.
+  bool is_public = false;  // Whether the route is public.
   std::string_view api_key;
-  // How long ago the configuration is proven to have been the newest one;
-  // nothing if that was never proven.
+  // Time since the configuration was last proven to be the newest one; nullopt
+  // if it never was.
   std::optional<milliseconds> proven_age;
-  // Oldest configuration that keys may be judged by; zero if any may.
+  // Maximum age of a configuration that keys are checked against; zero for no
+  // limit.
   milliseconds max_age{0};
 };
 
-struct key_answer {
+struct key_check_result {
   key_verdict verdict = key_verdict::kNotNeeded;
   const organisation* holder = nullptr;  // Only with kHeld.
 };
 
-// An old configuration says nothing either way: keys may have been withdrawn
-// and added since.
-[[nodiscard]] inline key_answer CheckKey(const key_question& question) {
-  if (question.organisations == nullptr) {
+// An outdated configuration neither confirms nor refuses a key: keys may have
+// been withdrawn and added since.
+[[nodiscard]] inline key_check_result CheckKey(const key_check_input& input) {
+  if (input.organisations == nullptr) {
     return {};
   }
   const bool confirmed =
-      question.max_age <= milliseconds(0) ||
-      (question.proven_age && *question.proven_age <= question.max_age);
-  const organisation* const holder =
-      question.organisations->Find(question.api_key);
-  if (question.is_public) {
+      input.max_age <= milliseconds(0) ||
+      (input.proven_age && *input.proven_age <= input.max_age);
+  const organisation* const holder = input.organisations->Find(input.api_key);
+  if (input.is_public) {
     return holder != nullptr && confirmed
-               ? key_answer{.verdict = key_verdict::kHeld, .holder = holder}
-               : key_answer{};
+               ? key_check_result{.verdict = key_verdict::kHeld,
+                                  .holder = holder}
+               : key_check_result{};
   }
   if (!confirmed) {
     return {.verdict = key_verdict::kUnconfirmed};
--- a/src/forward/origin.h
+++ b/src/forward/origin.h
@@ -221,7 +221,7 @@
 
   [[nodiscard]] bool FindRoute(placed_call& call, reason* why) const;
   // Checks the caller's API key against the current view.
-  [[nodiscard]] key_answer CheckKeyOf(const placed_call& call) const;
+  [[nodiscard]] key_check_result CheckKeyOf(const placed_call& call) const;
   // Sets the call's organisation, or ends the call and returns false.
   bool Authenticate(call_id id);
   void CountRefusal(reason why);
--- a/src/forward/origin_links.cc
+++ b/src/forward/origin_links.cc
@@ -9,7 +9,7 @@
 
 #include "include/base/log.h"
 #include "include/base/random_bits.h"
-#include "include/quarantine/suspect_spread.h"
+#include "include/quarantine/suspect_fanout.h"
 #include "src/forward/executor.h"
 #include "src/forward/origin.h"
 
@@ -143,7 +143,7 @@
 
 // A link sends all known suspects as soon as it is established.
 void origin::PushSuspectsToUnlinked() {
-  for (const std::string& ip : FurtherDaemons(Unlinked(), RandomBits64)) {
+  for (const std::string& ip : ChooseUnconnected(Unlinked(), RandomBits64)) {
     LinkTo(ip)->Probe();
   }
 }
