--- a/src/forward/caller_server.h
+++ b/src/forward/caller_server.h
@@ -37,7 +37,7 @@
         state_(std::make_shared<caller_port_state>(
             caller_port_state{.calls = calls,
                               .max_held_bytes = options.max_held_bytes,
-                              .longest_write = recent_maximum()})) {
+                              .max_write_time = recent_maximum()})) {
     Accept();
   }
 
@@ -62,8 +62,8 @@
   }
 
   // Most that an answer took lately to be written.
-  [[nodiscard]] duration LongestWrite(time_point now) {
-    return state_->longest_write.Get(now).value_or(duration(0));
+  [[nodiscard]] duration MaxWriteTime(time_point now) {
+    return state_->max_write_time.Get(now).value_or(duration(0));
   }
 
   // Takes no more connections and ends those that are idle.
@@ -100,22 +100,22 @@
           }
           if (!error && state_->sessions < options_.max_connections) {
             auto opened = std::make_shared<session>(state_, std::move(socket));
-            Remember(opened);
+            TrackSession(opened);
             opened->Start();
           }
           Accept();
         });
   }
 
-  void Remember(const std::shared_ptr<session>& opened) {
+  void TrackSession(const std::shared_ptr<session>& opened) {
     // Ended ones are cleared once they may be half of all.
-    if (sessions_.size() > 2 * state_->sessions + kFewSessions) {
+    if (sessions_.size() > 2 * state_->sessions + kPruneSlack) {
       std::erase_if(sessions_, [](const auto& weak) { return weak.expired(); });
     }
     sessions_.push_back(opened);
   }
 
-  static constexpr std::size_t kFewSessions = 64;
+  static constexpr std::size_t kPruneSlack = 64;
 
   const caller_server_options options_;
   tcp::acceptor acceptor_;
--- a/src/forward/caller_session.h
+++ b/src/forward/caller_session.h
@@ -42,9 +42,9 @@
   std::size_t open_requests = 0;
   std::uint64_t requests = 0;
   std::uint64_t malformed = 0;
-  recent_maximum longest_write;  // Of answers.
-  bool draining = false;         // Each connection ends behind its next answer.
-  bool refusing = false;         // Requests are refused, nothing of them runs.
+  recent_maximum max_write_time;  // Of answers.
+  bool draining = false;  // Each connection ends behind its next answer.
+  bool refusing = false;  // Requests are refused, nothing of them runs.
 };
 
 // Requests of one connection that are served at the same time. More wait in the
@@ -52,7 +52,7 @@
 inline constexpr std::size_t kMaxPipelined = 32;
 // When to come back where too many bodies are held: requests end in about that
 // time.
-inline constexpr milliseconds kFullRetryAfter{1000};
+inline constexpr milliseconds kBodyLimitRetryAfter{1000};
 // A caller that takes none of its answer's bytes for this long is cut off.
 inline constexpr milliseconds kWriteTimeout{15000};
 
@@ -78,7 +78,7 @@
   void Start() {
     boost::system::error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
-    NoteProgress();
+    RecordProgress();
     ArmTimer();
     Read();
   }
@@ -130,24 +130,24 @@
       return;
     }
     if (received_.empty() || (reader_ && reader_->has_head())) {
-      NoteProgress();
+      RecordProgress();
     }
     received_.append(chunk_.data(), bytes);
-    Digest();
+    ProcessReceived();
   }
 
-  [[nodiscard]] bool MayTakeMore() const {
-    return !last_request_ && !waiting_ && exchanges_.size() < kMaxPipelined &&
+  [[nodiscard]] bool CanAcceptMore() const {
+    return !last_request_ && !deferred_ && exchanges_.size() < kMaxPipelined &&
            (exchanges_.empty() || exchanges_.back()->safe);
   }
 
   // Takes as many requests out of what was received as may be served now. One
   // read stays pending in any case, so that the caller's leaving is noticed.
-  void Digest() {
-    if (waiting_ && exchanges_.empty()) {
-      Begin(*std::exchange(waiting_, std::nullopt));
+  void ProcessReceived() {
+    if (deferred_ && exchanges_.empty()) {
+      Begin(*std::exchange(deferred_, std::nullopt));
     }
-    while (!closed_ && !received_.empty() && MayTakeMore()) {
+    while (!closed_ && !received_.empty() && CanAcceptMore()) {
       if (!reader_) {
         reader_.emplace(
             read_limits{.max_head_bytes = state_->limits.max_head_bytes,
@@ -162,31 +162,31 @@
         return;
       }
       if (state == read_state::kMore) {
-        SendContinueIfAsked();
+        SendContinueIfExpected();
         break;
       }
       read_request request = reader_->Take();
       reader_.reset();
-      continued_ = false;
+      continue_sent_ = false;
       // A request that may run only once is not begun behind others: if an
       // answer in front of it ends the connection, its caller takes it as not
       // read and sends it again.
       if (!IsSafe(request) && !exchanges_.empty()) {
-        waiting_ = std::move(request);
+        deferred_ = std::move(request);
         break;
       }
       Begin(std::move(request));
     }
-    if (!closed_ && received_.size() < kMostUnread) {
+    if (!closed_ && received_.size() < kMaxReadAhead) {
       Read();
     }
   }
 
-  void SendContinueIfAsked() {
-    if (continued_ || !reader_->expects_continue() || !exchanges_.empty()) {
+  void SendContinueIfExpected() {
+    if (continue_sent_ || !reader_->expects_continue() || !exchanges_.empty()) {
       return;
     }
-    continued_ = true;
+    continue_sent_ = true;
     const auto text =
         std::make_shared<std::string>("HTTP/1.1 100 Continue\r\n\r\n");
     boost::asio::async_write(
@@ -208,11 +208,11 @@
     ++state_->requests;
     ++state_->open_requests;
     state_->held_bytes += begun->held;
-    NoteProgress();
+    RecordProgress();
     relayed_call call =
         Protocol::Decode(std::move(request), monotonic_clock::now());
     if (state_->held_bytes > state_->max_held_bytes) {
-      Refuse(begun, call.id, reason::kTableFull, kFullRetryAfter);
+      Refuse(begun, call.id, reason::kTableFull, kBodyLimitRetryAfter);
       return;
     }
     if (state_->refusing) {
@@ -294,7 +294,7 @@
       return;
     }
     writing_ = true;
-    NoteProgress();
+    RecordProgress();
     write_begun_ = last_progress_;
     const exchange_ptr& front = exchanges_.front();
     const std::array<boost::asio::const_buffer, 2> parts{
@@ -315,8 +315,8 @@
       Close();
       return;
     }
-    NoteProgress();
-    state_->longest_write.Add(last_progress_ - write_begun_, last_progress_);
+    RecordProgress();
+    state_->max_write_time.Add(last_progress_ - write_begun_, last_progress_);
     exchanges_.pop_front();
     Release(*written);
     if (written->close) {
@@ -324,7 +324,7 @@
       return;
     }
     WriteNext();
-    Digest();
+    ProcessReceived();
   }
 
   void Release(exchange& ended) {
@@ -343,7 +343,7 @@
     AbandonAll();
     lingering_ = true;
     received_.clear();
-    NoteProgress();
+    RecordProgress();
     Linger();
   }
 
@@ -383,7 +383,7 @@
     timer_.cancel();
   }
 
-  void NoteProgress() { last_progress_ = monotonic_clock::now(); }
+  void RecordProgress() { last_progress_ = monotonic_clock::now(); }
 
   // When the connection is to be ended if nothing more happens on it.
   [[nodiscard]] time_point Deadline() const {
@@ -440,7 +440,7 @@
 
   static constexpr std::size_t kReleased = SIZE_MAX;
   // Bytes that are read ahead while nothing may be begun.
-  static constexpr std::size_t kMostUnread = 64 << 10;
+  static constexpr std::size_t kMaxReadAhead = 64 << 10;
   static constexpr milliseconds kTimerInterval{500};
   static constexpr milliseconds kLingerTimeout{1000};
 
@@ -451,15 +451,15 @@
   std::string received_;                  // Not taken by the reader yet.
   std::optional<request_reader> reader_;  // Of a request that isn't whole.
   // A whole request that is begun once those before it are answered.
-  std::optional<read_request> waiting_;
+  std::optional<read_request> deferred_;
   std::deque<exchange_ptr> exchanges_;  // In the order of the requests.
   time_point last_progress_;
   time_point write_begun_;  // Of the last answer.
   time_point head_begun_;
   bool reading_ = false;
   bool writing_ = false;
-  bool continued_ = false;     // "100 Continue" was sent for this request.
-  bool last_request_ = false;  // No further request is taken.
+  bool continue_sent_ = false;  // "100 Continue" was sent for this request.
+  bool last_request_ = false;   // No further request is taken.
   bool lingering_ = false;
   bool closed_ = false;
 };
--- a/src/forward/executor.cc
+++ b/src/forward/executor.cc
@@ -18,7 +18,7 @@
 constexpr std::uint32_t kMaxQueue = 1024;
 // Part of a target's slots that are used: some targets take longer for
 // everything from 95 in 100 busy slots on.
-constexpr double kUsedSlots = 0.94;
+constexpr double kUsableSlotFraction = 0.94;
 // Of a full target's work, what less important requests get. Half of what the
 // least important kind of the known deployments asks for; all of it would cost
 // more important ones as much.
@@ -26,12 +26,12 @@
 // A target that nobody listens at is tried again after this while, with the
 // next call. Shorter than its restart takes, and long enough that callers are
 // sent elsewhere in between.
-constexpr milliseconds kTargetRetry{100};
+constexpr milliseconds kTargetRetryDelay{100};
 // When a caller that found no target here should come back.
 constexpr milliseconds kDownRetryAfter{500};
 constexpr milliseconds kDrainRetryAfter{50};
 // A few periods of the guard: the share has moved by then.
-constexpr milliseconds kWastedRetryAfter{500};
+constexpr milliseconds kThrottledRetryAfter{500};
 
 microseconds ToMicroseconds(duration time) {
   return std::chrono::duration_cast<microseconds>(time);
@@ -55,7 +55,7 @@
     case reason::kQuarantined:
       return kQuarantineRetryAfter;
     case reason::kWasted:
-      return kWastedRetryAfter;
+      return kThrottledRetryAfter;
     default:
       return kDownRetryAfter;
   }
@@ -84,9 +84,9 @@
 
 void executor::SetSlots(std::uint32_t slots) {
   slots_known_ = true;
-  const auto used = static_cast<std::uint32_t>(kUsedSlots * slots);
+  const auto used = static_cast<std::uint32_t>(kUsableSlotFraction * slots);
   admission_.Reconfigure(std::max(1U, used), kind_index::kMaxKinds);
-  CarryEvents();
+  ProcessAdmissionEvents();
 }
 
 void executor::SetTargetStart(const std::string& start) {
@@ -94,24 +94,26 @@
     return;
   }
   if (!std::exchange(target_start_, start).empty()) {
-    TellTargetDied(monotonic_clock::now());
+    ReportTargetCrash(monotonic_clock::now());
   }
 }
 
-suspects_frame executor::ImportSuspects(const suspects_frame& told) {
+suspects_frame executor::ImportSuspects(const suspects_frame& received) {
   const time_point now = monotonic_clock::now();
-  suspects_frame reply{.cleared = suspects_.Innocent(told.entries, now)};
-  const suspects_frame news{.entries = suspects_.Import(told.entries, now),
-                            .cleared = suspects_.OnCleared(told.cleared, now)};
+  suspects_frame reply{.cleared = suspects_.Innocent(received.entries, now)};
+  const suspects_frame update{
+      .entries = suspects_.Import(received.entries, now),
+      .cleared = suspects_.OnCleared(received.cleared, now)};
   LogEvent(
       "suspects_heard",
-      {{.name = "requests", .value = std::to_string(told.entries.size())},
-       {.name = "news", .value = std::to_string(news.entries.size())},
+      {{.name = "requests", .value = std::to_string(received.entries.size())},
+       {.name = "news", .value = std::to_string(update.entries.size())},
        {.name = "innocent", .value = std::to_string(reply.cleared.size())},
-       {.name = "cleared", .value = std::to_string(told.cleared.size())},
-       {.name = "cleared_news", .value = std::to_string(news.cleared.size())}});
-  if (!news.empty() && on_suspects_) {
-    on_suspects_(news, suspects_source::kOtherDaemon);
+       {.name = "cleared", .value = std::to_string(received.cleared.size())},
+       {.name = "cleared_news",
+        .value = std::to_string(update.cleared.size())}});
+  if (!update.empty() && on_suspects_) {
+    on_suspects_(update, suspects_source::kOtherDaemon);
   }
   return reply;
 }
@@ -125,8 +127,8 @@
   }
 }
 
-void executor::TellCleared(const request_fingerprint& request,
-                           const std::string& request_id) {
+void executor::PublishCleared(const request_fingerprint& request,
+                              const std::string& request_id) {
   LogEvent("suspect_cleared", {{.name = "why", .value = "it has completed"},
                                {.name = "request", .value = request_id}});
   if (on_suspects_) {
@@ -151,19 +153,19 @@
                              time_point now) {
   const request_fingerprint fingerprint = FingerprintOf(route, request);
   if (suspects_.OnCompleted(fingerprint, now)) {
-    TellCleared(fingerprint, request_id);
+    PublishCleared(fingerprint, request_id);
   }
 }
 
-void executor::TellTargetDied(time_point now) {
-  std::vector<quarantine_entry> told = suspects_.OnDied(now);
-  if (told.empty()) {
+void executor::ReportTargetCrash(time_point now) {
+  std::vector<quarantine_entry> suspects = suspects_.OnDied(now);
+  if (suspects.empty()) {
     return;
   }
   LogWarning("target_crashed",
-             {{.name = "suspects", .value = std::to_string(told.size())}});
+             {{.name = "suspects", .value = std::to_string(suspects.size())}});
   if (on_suspects_) {
-    on_suspects_({.entries = std::move(told)}, suspects_source::kHere);
+    on_suspects_({.entries = std::move(suspects)}, suspects_source::kHere);
   }
 }
 
@@ -172,7 +174,7 @@
   draining_ = true;
 }
 
-void executor::EndOpen() {
+void executor::EndOpenRuns() {
   Drain();
   std::vector<std::uint64_t> open;
   open.reserve(calls_.size());
@@ -202,7 +204,7 @@
   }
 }
 
-bool executor::TargetDown(time_point now) const {
+bool executor::IsTargetDown(time_point now) const {
   return now < target_down_until_;
 }
 
@@ -210,7 +212,7 @@
 // is still time for it to come back and be served within; run late, it would
 // earn its caller a part only and take a slot from one that is in time. One
 // that has no objective left is late already, and its deadline decides.
-time_point executor::StartBy(const served_call& served, time_point now) {
+time_point executor::LatestStart(const served_call& served, time_point now) {
   const time_point wanted = served.objective > now
                                 ? std::min(served.objective, served.deadline)
                                 : served.deadline;
@@ -222,10 +224,10 @@
   if (draining_) {
     return reason::kDraining;
   }
-  if (!slots_known_ || TargetDown(now)) {
+  if (!slots_known_ || IsTargetDown(now)) {
     return reason::kNotReady;
   }
-  if (TargetLeft(now)) {
+  if (HasTargetLeft(now)) {
     return reason::kWrongTarget;
   }
   if (suspects_.Refused(served.fingerprint, now) > milliseconds(0)) {
@@ -233,12 +235,13 @@
   }
   kind_state& kind = by_kind_[served.kind];
   kind.callers.Add(served.call.caller_service);
-  kind.waste.SetRank(served.call.route_rank);
-  kind.waste.OnPressure(DownstreamPressure(now), now);
+  kind.throttle.SetRank(served.call.route_rank);
+  kind.throttle.OnPressure(DownstreamPressure(now), now);
   kind.level = PriorityOfRank(served.call.rank);
   kind.objective = served.call.objective_left;
-  kind.came = now;
-  if (!kind.callers.IsMadeByTargets() && !kind.waste.Admit(served.call.ahead)) {
+  kind.last_call = now;
+  if (!kind.callers.IsMadeByTargets() &&
+      !kind.throttle.Admit(served.call.ahead)) {
     return reason::kWasted;
   }
   return reason::kNone;
@@ -275,7 +278,7 @@
       admission_.Offer({.level = PriorityOfRank(served.call.rank),
                         .ticket = served.call.ticket,
                         .method = served.kind,
-                        .deadline = StartBy(served, now),
+                        .deadline = LatestStart(served, now),
                         .cookie = id},
                        now, RandomBits32());
   served.admitted = decision.handle;
@@ -287,12 +290,12 @@
     log_.Add(id, served.call.request_id, "queued",
              {{.name = "ahead", .value = std::to_string(admission_.queued())}});
   }
-  CarryEvents();
+  ProcessAdmissionEvents();
   return id;
 }
 
 // What followed from the last change: queued calls that run now or are refused.
-void executor::CarryEvents() {
+void executor::ProcessAdmissionEvents() {
   while (const auto event =
              admission_.TakeNext(monotonic_clock::now(), RandomBits32())) {
     const auto found = calls_.find(event->cookie);
@@ -319,7 +322,7 @@
   wakeup_.async_wait([this](boost::system::error_code error) {
     if (!error) {
       wakeup_armed_ = false;
-      CarryEvents();
+      ProcessAdmissionEvents();
     }
   });
 }
@@ -327,7 +330,7 @@
 // The target may have left while the request waited.
 void executor::StartQueued(std::uint64_t id) {
   const time_point now = monotonic_clock::now();
-  if (!TargetLeft(now)) {
+  if (!HasTargetLeft(now)) {
     Start(id);
     return;
   }
@@ -351,30 +354,30 @@
                  .organisation = served.call.organisation,
                  .repeats = served.call.repeats,
                  .deadline = served.deadline};
-  served.give_up = run_(std::move(run), [this, id](run_result result) {
+  served.cancel = run_(std::move(run), [this, id](run_result result) {
     OnRunEnd(id, std::move(result));
   });
 }
 
-void executor::NoteTarget(const run_result& result, time_point now) {
-  if (result.end != run_end::kNotSent || !result.refused) {
+void executor::UpdateTargetState(const run_result& result, time_point now) {
+  if (result.end != run_end::kNotSent || !result.connection_refused) {
     return;
   }
-  if (!TargetDown(now)) {
+  if (!IsTargetDown(now)) {
     LogWarning("target_down", {{.name = "why", .value = "refused connection"}});
   }
-  TellTargetDied(now);
-  target_down_until_ = now + kTargetRetry;
+  ReportTargetCrash(now);
+  target_down_until_ = now + kTargetRetryDelay;
 }
 
-void executor::NoteSuspects(const served_call& served,
-                            const run_result& result,
-                            time_point now) {
+void executor::UpdateSuspects(const served_call& served,
+                              const run_result& result,
+                              time_point now) {
   if (result.end == run_end::kAnswered) {
     if (suspects_.OnAnswered(served.fingerprint, served.started, now)) {
-      TellCleared(served.fingerprint, served.call.request_id);
+      PublishCleared(served.fingerprint, served.call.request_id);
     }
-  } else if (result.end == run_end::kLost && result.cut) {
+  } else if (result.end == run_end::kLost && result.interrupted) {
     suspects_.OnCut(served.fingerprint, served.started, now);
   }
 }
@@ -391,12 +394,12 @@
                     {.answered = answered,
                      .target_refused = result.end == run_end::kNotExecuted},
                     now);
-  NoteTarget(result, now);
-  NoteSuspects(served, result, now);
+  UpdateTargetState(result, now);
+  UpdateSuspects(served, result, now);
   if (answered) {
     vouching_.OnAnswer(result.closing, now);
-    by_kind_[served.kind].waste.OnResult(!IsServerError(result.response.status),
-                                         now);
+    by_kind_[served.kind].throttle.OnResult(
+        !IsServerError(result.response.status), now);
   }
   log_.Add(
       id, served.call.request_id, "run_ended",
@@ -405,14 +408,14 @@
        {.name = "served_us",
         .value =
             std::to_string(ToMicroseconds(now - served.started).count())}});
-  answer_frame answer = AnswerOf(std::move(result));
+  answer_frame answer = ToAnswerFrame(std::move(result));
   answer.queued = ToMicroseconds(served.started - served.arrived);
   answer.served = ToMicroseconds(now - served.started);
   answer.failed_below = answer.kind == outcome_kind::kCompleted &&
                         IsServerError(answer.response.status) &&
-                        below_.IsTooHigh(now);
+                        downstream_failures_.IsTooHigh(now);
   Answer(id, std::move(answer));
-  CarryEvents();
+  ProcessAdmissionEvents();
 }
 
 void executor::Refuse(std::uint64_t id, reason why, milliseconds retry_after) {
@@ -423,7 +426,7 @@
       {{.name = "why", .value = std::string(kReasonNames.Name(why))},
        {.name = "retry_after_ms", .value = std::to_string(retry_after.count())},
        {.name = "share",
-        .value = std::to_string(by_kind_[served.kind].waste.share())},
+        .value = std::to_string(by_kind_[served.kind].throttle.share())},
        {.name = "running", .value = std::to_string(admission_.running())},
        {.name = "queued", .value = std::to_string(admission_.queued())},
        {.name = "waited_ms",
@@ -441,7 +444,7 @@
   served_call served = std::move(found->second);
   calls_.erase(found);
   const time_point now = monotonic_clock::now();
-  longest_.Add(now - served.arrived, now);
+  max_request_time_.Add(now - served.arrived, now);
   answer.number = served.call.number;
   answer.load = Load();
   answer.report = Report();
@@ -459,12 +462,12 @@
 
 void executor::Cancel(std::uint64_t id) {
   const auto found = calls_.find(id);
-  if (found == calls_.end() || found->second.caller_gone) {
+  if (found == calls_.end() || found->second.caller_disconnected) {
     return;
   }
   served_call& served = found->second;
-  served.caller_gone = true;
-  const bool runs = served.give_up != nullptr;
+  served.caller_disconnected = true;
+  const bool runs = served.cancel != nullptr;
   const bool stops = !runs || served.call.repeats == repeat_policy::kIdempotent;
   log_.Add(id, served.call.request_id, "cancelled",
            {{.name = "running", .value = runs ? "yes" : "no"},
@@ -473,13 +476,13 @@
     return;
   }
   if (runs) {
-    const auto give_up = served.give_up;
-    give_up();
+    const auto cancel = served.cancel;
+    cancel();
     return;
   }
   if (admission_.Cancel(served.admitted)) {
     Refuse(id, reason::kCancelled, milliseconds(0));
-    CarryEvents();
+    ProcessAdmissionEvents();
   }
 }
 
--- a/src/forward/executor.h
+++ b/src/forward/executor.h
@@ -100,7 +100,7 @@
   }
   // Another daemon told of requests that may have crashed a target. What is
   // news goes on to the listener. Returns what the other one doesn't know.
-  suspects_frame ImportSuspects(const suspects_frame& told);
+  suspects_frame ImportSuspects(const suspects_frame& received);
   // For a daemon that connects.
   [[nodiscard]] std::vector<quarantine_entry> KnownSuspects() const;
   // Whether a request from a caller here is refused because such a one has
@@ -120,13 +120,13 @@
   // Runs the call and calls `done` once, now or later. Returns a name for it.
   std::uint64_t Serve(call_frame call, callback done);
   // Calls that the target makes find this pressure at a service.
-  void NoteDownstream(const std::string& service,
-                      double pressure,
-                      time_point now);
+  void UpdateDownstreamPressure(const std::string& service,
+                                double pressure,
+                                time_point now);
 
   // A call that the target made has ended.
-  void NoteCallOfTarget(bool failed, time_point now) {
-    below_.Add(failed, now);
+  void OnTargetCallEnd(bool failed, time_point now) {
+    downstream_failures_.Add(failed, now);
   }
 
   // The caller has gone. A call that waits ends, one that may run again is
@@ -141,11 +141,11 @@
   void Drain();
   // Refuses all from now on, and answers what is in progress: not executed if
   // it has not begun, else unknown.
-  void EndOpen();
+  void EndOpenRuns();
   [[nodiscard]] bool leaving() const { return leaving_; }
   // Most that a call took lately, from its arrival on.
-  [[nodiscard]] duration Longest(time_point now) {
-    return longest_.Get(now).value_or(duration(0));
+  [[nodiscard]] duration MaxRequestTime(time_point now) {
+    return max_request_time_.Get(now).value_or(duration(0));
   }
   [[nodiscard]] std::size_t in_progress() const { return calls_.size(); }
   [[nodiscard]] load_report Load() const;
@@ -165,51 +165,51 @@
     std::uint32_t kind = 0;  // Of work, for the estimates of its duration.
     request_fingerprint fingerprint;
     admission_handle admitted;
-    std::function<void()> give_up;  // Only while it runs.
-    bool caller_gone = false;
+    std::function<void()> cancel;  // Only while it runs.
+    bool caller_disconnected = false;
   };
 
   // What is learnt of one kind of work.
   struct kind_state {
-    adaptive_throttle waste;
+    adaptive_throttle throttle;
     caller_mix callers;
     // Of the last call of the kind.
     priority level = priority::kNormal;
     milliseconds objective{0};
-    time_point came;
+    time_point last_call;
   };
 
   struct downstream_service {
     double pressure = 0;
-    time_point heard;
+    time_point received;
   };
 
   using call_map = std::unordered_map<std::uint64_t, served_call>;
 
-  [[nodiscard]] static time_point StartBy(const served_call& served,
-                                          time_point now);
+  [[nodiscard]] static time_point LatestStart(const served_call& served,
+                                              time_point now);
   [[nodiscard]] reason RefusalOf(const served_call& served, time_point now);
   void StartQueued(std::uint64_t id);
   void Start(std::uint64_t id);
   void OnRunEnd(std::uint64_t id, run_result result);
   void Refuse(std::uint64_t id, reason why, milliseconds retry_after);
   void Answer(std::uint64_t id, answer_frame answer);
-  void CarryEvents();
+  void ProcessAdmissionEvents();
   void ArmWakeup();
   // Nothing if no called service told of any lately.
   [[nodiscard]] std::optional<double> DownstreamPressure(time_point now) const;
   [[nodiscard]] double OwnPressure(time_point now) const;
-  void NoteTarget(const run_result& result, time_point now);
-  void NoteSuspects(const served_call& served,
-                    const run_result& result,
-                    time_point now);
-  void TellTargetDied(time_point now);
+  void UpdateTargetState(const run_result& result, time_point now);
+  void UpdateSuspects(const served_call& served,
+                      const run_result& result,
+                      time_point now);
+  void ReportTargetCrash(time_point now);
   void LogVouching(const view_state& view, time_point now);
-  void TellCleared(const request_fingerprint& request,
-                   const std::string& request_id);
+  void PublishCleared(const request_fingerprint& request,
+                      const std::string& request_id);
   // Requests mustn't reach the target any more, whatever their senders know.
-  [[nodiscard]] bool TargetLeft(time_point now) const;
-  [[nodiscard]] bool TargetDown(time_point now) const;
+  [[nodiscard]] bool HasTargetLeft(time_point now) const;
+  [[nodiscard]] bool IsTargetDown(time_point now) const;
 
   const target_runner run_;
   call_log& log_;
@@ -219,14 +219,14 @@
   kind_index kinds_;
   std::array<kind_state, kind_index::kMaxKinds> by_kind_;
   std::unordered_map<std::string, downstream_service> downstream_;
-  downstream_failure_rate below_;
+  downstream_failure_rate downstream_failures_;
   call_map calls_;
   std::uint64_t next_id_ = 1;
   time_point target_down_until_;
   std::string target_start_;  // Empty until one is registered.
   crash_suspects suspects_;
   target_vouching vouching_;
-  std::string vouched_;  // As it was logged last.
+  std::string logged_vouched_;  // As it was logged last.
   std::function<view_state()> view_state_;
   std::function<milliseconds()> view_age_;
   std::function<std::optional<milliseconds>()> store_answered_ago_;
@@ -234,7 +234,7 @@
   bool slots_known_ = false;
   bool leaving_ = false;
   bool draining_ = false;  // And leaving.
-  recent_maximum longest_;
+  recent_maximum max_request_time_;
   executor_counters counters_;
 };
 
--- a/src/forward/executor_reports.cc
+++ b/src/forward/executor_reports.cc
@@ -14,22 +14,22 @@
 
 // What was heard of pressure longer ago than this counts no more; calls and
 // their answers come many times in it where there is any pressure.
-constexpr milliseconds kPressureMemory{1000};
+constexpr milliseconds kPressureValidity{1000};
 
 }  // namespace
 
 load_report executor::Load() const {
   const time_point now = monotonic_clock::now();
   load_report load = admission_.Report(0, now);
-  if (draining_ || !slots_known_ || TargetDown(now)) {
+  if (draining_ || !slots_known_ || IsTargetDown(now)) {
     load.admission_level = kRankCount;
   }
   constexpr double kThousandths = 1000;
-  constexpr double kMostPressure = 100;
+  constexpr double kMaxPressure = 100;
   const double pressure =
       std::max(OwnPressure(now), DownstreamPressure(now).value_or(0));
   load.pressure = static_cast<std::uint32_t>(kThousandths *
-                                             std::min(kMostPressure, pressure));
+                                             std::min(kMaxPressure, pressure));
   return load;
 }
 
@@ -53,53 +53,54 @@
 // How long calls of targets would wait here, against half of their objective.
 double executor::OwnPressure(time_point now) const {
   constexpr double kHalf = 0.5;
-  double most = 0;
+  double max_pressure = 0;
   for (std::uint32_t i = 0; i < kinds_.size(); ++i) {
     const kind_state& kind = by_kind_[i];
-    if (now - kind.came > kPressureMemory ||
+    if (now - kind.last_call > kPressureValidity ||
         kind.objective <= milliseconds(0) || !kind.callers.IsMadeByTargets()) {
       continue;
     }
     const std::chrono::duration<double> wait =
         admission_.EstimatedWait(kind.level);
     const std::chrono::duration<double> objective = kind.objective;
-    most = std::max(most, wait / (kHalf * objective));
+    max_pressure = std::max(max_pressure, wait / (kHalf * objective));
   }
-  return most;
+  return max_pressure;
 }
 
-void executor::NoteDownstream(const std::string& service,
-                              double pressure,
-                              time_point now) {
-  downstream_[service] = {.pressure = pressure, .heard = now};
+void executor::UpdateDownstreamPressure(const std::string& service,
+                                        double pressure,
+                                        time_point now) {
+  downstream_[service] = {.pressure = pressure, .received = now};
 }
 
 std::optional<double> executor::DownstreamPressure(time_point now) const {
-  std::optional<double> most;
-  for (const auto& [service, below] : downstream_) {
-    if (now - below.heard <= kPressureMemory) {
-      most = std::max(most.value_or(0), below.pressure);
+  std::optional<double> max_pressure;
+  for (const auto& [service, state] : downstream_) {
+    if (now - state.received <= kPressureValidity) {
+      max_pressure = std::max(max_pressure.value_or(0), state.pressure);
     }
   }
-  return most;
+  return max_pressure;
 }
 
 void executor::LogVouching(const view_state& view, time_point now) {
   std::string vouched = vouching_.VouchedStart(view, now);
-  if (vouched == vouched_) {
+  if (vouched == logged_vouched_) {
     return;
   }
-  LogEvent(vouched.empty() ? "target_not_vouched" : "target_vouched",
-           {{.name = "start", .value = vouched.empty() ? vouched_ : vouched},
-            {.name = "answered_ms",
-             .value = std::to_string(
-                 ToMilliseconds(now - vouching_.answered()).count())},
-            {.name = "store_lost", .value = view.lost_since ? "yes" : "no"},
-            {.name = "revision", .value = std::to_string(view.revision)}});
-  vouched_ = std::move(vouched);
+  LogEvent(
+      vouched.empty() ? "target_not_vouched" : "target_vouched",
+      {{.name = "start", .value = vouched.empty() ? logged_vouched_ : vouched},
+       {.name = "answered_ms",
+        .value =
+            std::to_string(ToMilliseconds(now - vouching_.answered()).count())},
+       {.name = "store_lost", .value = view.lost_since ? "yes" : "no"},
+       {.name = "revision", .value = std::to_string(view.revision)}});
+  logged_vouched_ = std::move(vouched);
 }
 
-bool executor::TargetLeft(time_point now) const {
+bool executor::HasTargetLeft(time_point now) const {
   return !vouching_.IsListed() && view_state_ &&
          !vouching_.MayServe(view_state_(), now);
 }
--- a/src/forward/forward_daemon.h
+++ b/src/forward/forward_daemon.h
@@ -417,8 +417,8 @@
         .open_requests = callers_.state().open_requests,
         .runs = executor_.in_progress(),
         .max_request_time =
-            std::max(origin_.MaxRequestTime(now) + callers_.LongestWrite(now),
-                     executor_.Longest(now))};
+            std::max(origin_.MaxRequestTime(now) + callers_.MaxWriteTime(now),
+                     executor_.MaxRequestTime(now))};
     if (stop_plan_.IsOver(progress, now)) {
       Stop();
       return;
@@ -447,7 +447,7 @@
   void EndOpenCalls() {
     if (!std::exchange(ending_, true)) {
       callers_.RefuseNew();
-      executor_.EndOpen();
+      executor_.EndOpenRuns();
     } else {
       origin_.EndOpenCalls();
     }
--- a/src/forward/origin.cc
+++ b/src/forward/origin.cc
@@ -308,8 +308,8 @@
   }
   if (answer.answer.by_targets) {
     call.from_own_target = true;
-    local_.NoteDownstream(call.service,
-                          StateOf(call.service).targets.Pressure(now), now);
+    local_.UpdateDownstreamPressure(
+        call.service, StateOf(call.service).targets.Pressure(now), now);
   }
   if (answer.answer.why == reason::kDraining) {
     StateOf(call.service).targets.SetStopping(call.target, true);
@@ -537,9 +537,9 @@
     options_.refund_quota(*call->charged);
   }
   if (call->from_own_target) {
-    local_.NoteCallOfTarget(result.kind != outcome_kind::kCompleted ||
-                                IsServerError(result.response.status),
-                            now);
+    local_.OnTargetCallEnd(result.kind != outcome_kind::kCompleted ||
+                               IsServerError(result.response.status),
+                           now);
   }
   ++(result.kind == outcome_kind::kCompleted     ? counters_.completed
      : result.kind == outcome_kind::kNotExecuted ? counters_.not_executed
--- a/src/forward/run_outcome.cc
+++ b/src/forward/run_outcome.cc
@@ -6,13 +6,13 @@
 namespace pistachioweir {
 namespace {
 
-struct run_meaning {
+struct outcome_fields {
   outcome_kind kind = outcome_kind::kUnknown;
   reason why = reason::kNone;
   bool reached_target = true;
 };
 
-run_meaning MeaningOf(run_end end) {
+outcome_fields OutcomeOf(run_end end) {
   using enum outcome_kind;
   switch (end) {
     case run_end::kAnswered:
@@ -42,13 +42,13 @@
   return status >= kFirstServerError;
 }
 
-answer_frame AnswerOf(run_result result) {
-  const run_meaning meaning = MeaningOf(result.end);
+answer_frame ToAnswerFrame(run_result result) {
+  const outcome_fields outcome = OutcomeOf(result.end);
   answer_frame answer;
-  answer.kind = meaning.kind;
-  answer.why = meaning.why;
-  answer.reached_target = meaning.reached_target;
-  if (meaning.kind == outcome_kind::kCompleted) {
+  answer.kind = outcome.kind;
+  answer.why = outcome.why;
+  answer.reached_target = outcome.reached_target;
+  if (outcome.kind == outcome_kind::kCompleted) {
     answer.response = std::move(result.response);
   }
   return answer;
--- a/src/forward/run_outcome.h
+++ b/src/forward/run_outcome.h
@@ -11,6 +11,6 @@
 [[nodiscard]] bool IsServerError(int status);
 
 // The outcome of a run, without the number and the load.
-[[nodiscard]] answer_frame AnswerOf(run_result result);
+[[nodiscard]] answer_frame ToAnswerFrame(run_result result);
 
 }  // namespace pistachioweir
--- a/src/forward/target_connection.h
+++ b/src/forward/target_connection.h
@@ -29,13 +29,13 @@
 // How long the kernel tries to bring bytes to a target on the same machine
 // before the connection counts as silent. Loopback acknowledges within
 // microseconds; the rest is for a machine that is short of processor time.
-inline constexpr milliseconds kTargetSilence{1000};
+inline constexpr milliseconds kTargetAckTimeout{1000};
 inline constexpr milliseconds kTargetConnectTimeout{500};
 // An idle connection is left this long before the target would close it, or a
 // request would cross that close and be lost.
 inline constexpr milliseconds kIdleMargin{1000};
 // Where a target doesn't tell how long it keeps idle connections.
-inline constexpr milliseconds kDefaultIdle{4000};
+inline constexpr milliseconds kDefaultIdleTimeout{4000};
 
 // Owns the socket. Kept alive by its pending operations, and by the pool while
 // it is idle.
@@ -53,12 +53,12 @@
       : socket_(context), timer_(context), target_(target), limits_(limits) {}
 
   // `on_free` hears if the connection may be used again.
-  void Run(target_run run, callback done, listener on_free) {
+  void Run(target_run run, callback done, listener on_reusable) {
     run_ = std::move(run);
     done_ = std::move(done);
-    on_free_ = std::move(on_free);
+    on_reusable_ = std::move(on_reusable);
     on_closed_ = nullptr;
-    got_any_ = false;
+    response_begun_ = false;
     clean_ = true;
     written_ = false;
     head_.clear();
@@ -78,12 +78,12 @@
   }
 
   [[nodiscard]] bool IsUsable(time_point now) const {
-    return socket_.is_open() && now - idle_since_ < most_idle_;
+    return socket_.is_open() && now - idle_since_ < max_idle_;
   }
 
   void Cancel() {
     if (done_) {
-      End({.end = run_end::kCancelled});
+      FinishAndClose({.end = run_end::kCancelled});
     }
   }
 
@@ -102,7 +102,7 @@
     timer_.async_wait([self = this->shared_from_this(),
                        deadline = run_.deadline](error_code error) {
       if (!error && self->done_ && self->run_.deadline == deadline) {
-        self->End({.end = run_end::kTimedOut});
+        self->FinishAndClose({.end = run_end::kTimedOut});
       }
     });
   }
@@ -117,7 +117,7 @@
     timeout->expires_after(kTargetConnectTimeout);
     timeout->async_wait([self = this->shared_from_this()](error_code error) {
       if (!error && !self->connected_ && self->done_) {
-        self->End({.end = run_end::kNotSent});
+        self->FinishAndClose({.end = run_end::kNotSent});
       }
     });
     socket_.async_connect(
@@ -132,12 +132,13 @@
       return;
     }
     if (error) {
-      End({.end = run_end::kNotSent,
-           .refused = error == boost::asio::error::connection_refused});
+      FinishAndClose({.end = run_end::kNotSent,
+                      .connection_refused =
+                          error == boost::asio::error::connection_refused});
       return;
     }
     connected_ = true;
-    SetUpConnection(socket_, kTargetSilence);
+    SetUpConnection(socket_, kTargetAckTimeout);
     Write();
     Read();
   }
@@ -150,7 +151,7 @@
       boost::asio::post(socket_.get_executor(),
                         [self = this->shared_from_this()] {
                           if (self->done_ && self->head_.empty()) {
-                            self->End({.end = run_end::kNotSent});
+                            self->FinishAndClose({.end = run_end::kNotSent});
                           }
                         });
       return;
@@ -180,22 +181,22 @@
   void OnRead(error_code error, std::size_t bytes) {
     if (!done_) {
       // The end of an idle connection, or bytes that belong to no request.
-      Retire();
+      CloseWhileIdle();
       return;
     }
     if (error) {
-      OnEnd(error);
+      OnReadError(error);
       return;
     }
-    got_any_ = true;
+    response_begun_ = true;
     buffer_.append(chunk_.data(), bytes);
-    if (Digest()) {
+    if (ProcessReceived()) {
       Read();
     }
   }
 
   // Whether to read on.
-  bool Digest() {
+  bool ProcessReceived() {
     for (;;) {
       std::size_t taken = 0;
       const read_state state = reader_->Feed(buffer_, &taken);
@@ -204,7 +205,7 @@
         return true;
       }
       if (state == read_state::kFailed) {
-        End({.end = run_end::kLost});
+        FinishAndClose({.end = run_end::kLost});
         return false;
       }
       if (OnMessage(reader_->Take())) {
@@ -217,7 +218,7 @@
     }
   }
 
-  void OnEnd(error_code error) {
+  void OnReadError(error_code error) {
     // An answer without a length ends with its connection, if that ends in good
     // order; after a reset nobody knows how much is missing.
     if (error == boost::asio::error::eof &&
@@ -225,7 +226,7 @@
       return;
     }
     if (done_) {
-      End({.end = run_end::kLost, .cut = !got_any_});
+      FinishAndClose({.end = run_end::kLost, .interrupted = !response_begun_});
     }
   }
 
@@ -246,10 +247,10 @@
                        .body = std::move(response.body)};
     if (written_ && clean_ && buffer_.empty() && response.keep_alive &&
         socket_.is_open()) {
-      most_idle_ = IdleTime(response.keep_alive_header);
-      Free(std::move(result));
+      max_idle_ = IdleTime(response.keep_alive_header);
+      FinishAndKeep(std::move(result));
     } else {
-      End(std::move(result));
+      FinishAndClose(std::move(result));
     }
     return true;
   }
@@ -270,35 +271,36 @@
     constexpr std::string_view kName = "timeout=";
     const std::size_t at = keep_alive.find(kName);
     if (at == keep_alive.npos) {
-      return kDefaultIdle;
+      return kDefaultIdleTimeout;
     }
     const std::string_view rest = keep_alive.substr(at + kName.size());
     const auto number =
         ParseNumber(rest.substr(0, rest.find_first_not_of("0123456789")));
     if (!number) {
-      return kDefaultIdle;
+      return kDefaultIdleTimeout;
     }
-    const milliseconds told = seconds(*number);
-    return told > 2 * kIdleMargin ? told - kIdleMargin : told / 2;
+    const milliseconds announced = seconds(*number);
+    return announced > 2 * kIdleMargin ? announced - kIdleMargin
+                                       : announced / 2;
   }
 
-  void Free(run_result result) {
+  void FinishAndKeep(run_result result) {
     timer_.cancel();
     auto done = std::exchange(done_, nullptr);
-    const auto on_free = std::exchange(on_free_, nullptr);
-    on_free(this->shared_from_this());
+    const auto on_reusable = std::exchange(on_reusable_, nullptr);
+    on_reusable(this->shared_from_this());
     done(std::move(result));
   }
 
-  void End(run_result result) {
+  void FinishAndClose(run_result result) {
     Close();
     connected_ = false;
     auto done = std::exchange(done_, nullptr);
-    on_free_ = nullptr;
+    on_reusable_ = nullptr;
     done(std::move(result));
   }
 
-  void Retire() {
+  void CloseWhileIdle() {
     Close();
     if (const auto on_closed = std::exchange(on_closed_, nullptr)) {
       on_closed(this->shared_from_this());
@@ -311,19 +313,19 @@
   const read_limits limits_;
 
   target_run run_;
-  callback done_;       // Set exactly while a request is in progress.
-  listener on_free_;    // Likewise.
-  listener on_closed_;  // Set only while idle.
+  callback done_;         // Set exactly while a request is in progress.
+  listener on_reusable_;  // Likewise.
+  listener on_closed_;    // Set only while idle.
   std::optional<response_reader> reader_;
   std::string head_;
   std::string buffer_;  // Bytes that the reader has not taken.
   std::array<char, 16384> chunk_{};
   time_point idle_since_;
-  milliseconds most_idle_ = kDefaultIdle;
+  milliseconds max_idle_ = kDefaultIdleTimeout;
   bool connected_ = false;
-  bool got_any_ = false;  // Bytes came since the request began.
-  bool clean_ = true;     // Nothing unexpected came.
-  bool written_ = false;  // The whole request has left.
+  bool response_begun_ = false;  // Bytes came since the request began.
+  bool clean_ = true;            // Nothing unexpected came.
+  bool written_ = false;         // The whole request has left.
 };
 
 }  // namespace pistachioweir
--- a/src/forward/target_pool.h
+++ b/src/forward/target_pool.h
@@ -53,10 +53,11 @@
                                             shared_->limits);
     }
     ++(reused ? shared_->counters.reused : shared_->counters.opened);
-    chosen->Run(
-        std::move(run), std::move(done),
-        [pool = std::weak_ptr<shared>(shared_)](
-            const std::shared_ptr<connection>& free) { Keep(pool, free); });
+    chosen->Run(std::move(run), std::move(done),
+                [pool = std::weak_ptr<shared>(shared_)](
+                    const std::shared_ptr<connection>& free) {
+                  ReturnToPool(pool, free);
+                });
     return chosen;
   }
 
@@ -104,8 +105,8 @@
     return nullptr;
   }
 
-  static void Keep(const std::weak_ptr<shared>& pool,
-                   const std::shared_ptr<connection>& free) {
+  static void ReturnToPool(const std::weak_ptr<shared>& pool,
+                           const std::shared_ptr<connection>& free) {
     const auto found = pool.lock();
     if (found == nullptr) {
       free->Close();
--- a/src/forward/target_run.h
+++ b/src/forward/target_run.h
@@ -43,10 +43,10 @@
   run_end end = run_end::kLost;
   relayed_response response;  // With kAnswered.
   // No connection could be opened: nobody listens there.
-  bool refused = false;
+  bool connection_refused = false;
   // The connection ended before any byte of an answer, as all of a target's
   // do when its process ends.
-  bool cut = false;
+  bool interrupted = false;
   // With kAnswered: the target ended the connection behind its answer.
   bool closing = false;
 };
--- a/tests/forward_path_test.cc
+++ b/tests/forward_path_test.cc
@@ -395,7 +395,7 @@
 
 TEST_F(forward_path_test, AnUnreachableTargetMeansNotExecuted) {
   path_.Configure();
-  path_.target.Die();
+  path_.target.Crash();
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
   EXPECT_EQ(client.NextResponse().status, 503);
@@ -512,7 +512,7 @@
   }
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.target.requests.size() == 1; }));
-  path_.target_side.EndOpen();
+  path_.target_side.EndOpenRuns();
   ASSERT_EQ(told.size(), 2U);
   std::ranges::sort(told, {}, &answer_frame::reached_target);
   EXPECT_EQ(told[0].kind, outcome_kind::kNotExecuted);
--- a/tests/support/fake_http_target.h
+++ b/tests/support/fake_http_target.h
@@ -57,13 +57,13 @@
               return;
             }
             self->buffer_.append(self->chunk_.data(), bytes);
-            self->Digest();
+            self->ProcessReceived();
             self->Read();
           });
     }
 
    private:
-    void Digest() {
+    void ProcessReceived() {
       while (!buffer_.empty()) {
         if (!reader_) {
           reader_.emplace(read_limits{.max_body_bytes = 64 << 20});
@@ -71,8 +71,8 @@
         std::size_t taken = 0;
         const read_state state = reader_->Feed(buffer_, &taken);
         buffer_.erase(0, taken);
-        if (reader_->has_head() && !head_told_) {
-          head_told_ = true;
+        if (reader_->has_head() && !head_reported_) {
+          head_reported_ = true;
           if (owner_.on_head) {
             owner_.on_head(*this);
           }
@@ -82,7 +82,7 @@
         }
         read_request request = reader_->Take();
         reader_.reset();
-        head_told_ = false;
+        head_reported_ = false;
         owner_.requests.push_back(request);
         if (owner_.on_request) {
           owner_.on_request(request, shared_from_this());
@@ -95,7 +95,7 @@
     std::array<char, 65536> chunk_{};
     std::string buffer_;
     std::optional<request_reader> reader_;
-    bool head_told_ = false;
+    bool head_reported_ = false;
   };
 
   using connection_ptr = std::shared_ptr<connection>;
@@ -112,7 +112,7 @@
   }
 
   // Nobody listens any more, and all connections are reset.
-  void Die() {
+  void Crash() {
     boost::system::error_code ignored;
     acceptor_.close(ignored);
     for (const auto& weak : all_) {
--- a/tests/support/raw_socket.cc
+++ b/tests/support/raw_socket.cc
@@ -12,7 +12,7 @@
 namespace pistachioweir {
 namespace {
 
-constexpr timeval kSilence{.tv_sec = 1, .tv_usec = 500000};
+constexpr timeval kReceiveTimeout{.tv_sec = 1, .tv_usec = 500000};
 
 sockaddr_in ToAddress(const endpoint& address) {
   sockaddr_in result{};
@@ -28,7 +28,8 @@
                           std::string_view bytes,
                           bool half_close) {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
-  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &kSilence, sizeof(kSilence));
+  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &kReceiveTimeout,
+             sizeof(kReceiveTimeout));
   const sockaddr_in to = ToAddress(address);
   std::string received;
   if (connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof(to)) == 0) {
--- a/tests/support/run_until.h
+++ b/tests/support/run_until.h
@@ -12,12 +12,12 @@
 namespace pistachioweir {
 
 // Only ends a test that hangs.
-inline constexpr milliseconds kTestPatience{20000};
+inline constexpr milliseconds kTestTimeout{20000};
 
 // Runs what is ready or becomes so until `done` holds.
 inline ::testing::AssertionResult RunUntil(boost::asio::io_context& context,
                                            const std::function<bool()>& done) {
-  const time_point end = monotonic_clock::now() + kTestPatience;
+  const time_point end = monotonic_clock::now() + kTestTimeout;
   while (!done()) {
     if (monotonic_clock::now() > end) {
       return ::testing::AssertionFailure() << "nothing happened";
--- a/tests/unread_peers_test.cc
+++ b/tests/unread_peers_test.cc
@@ -29,9 +29,9 @@
 // The address sanitizer keeps what is freed, so that memory in use can't be
 // told from the outside.
 #if defined(__SANITIZE_ADDRESS__)
-constexpr bool kMemoryTells = false;
+constexpr bool kMemoryMeasurable = false;
 #else
-constexpr bool kMemoryTells = true;
+constexpr bool kMemoryMeasurable = true;
 #endif
 
 double ResidentMb() {
@@ -44,7 +44,7 @@
 
 // Guards against memory that is used up by, and a crash at the end of,
 // connections that bring nothing forward.
-TEST(UnreadPeersTest, TellingPeersThatDontReadIsBounded) {
+TEST(UnreadPeersTest, MemoryForPeersThatDontReadIsBounded) {
   boost::asio::io_context context;
   call_log log{{}};
   executor calls(
@@ -73,22 +73,22 @@
   const suspects_frame cleared{
       .cleared = {{.high = 0x123456789abcdefULL, .low = 0xfedcba9876543210}}};
   const auto frame = std::make_shared<const std::string>(Encode(cleared));
-  double most = 0;
-  std::size_t most_unsent = 0;
+  double max_mb = 0;
+  std::size_t max_unsent = 0;
   for (std::size_t i = 1; i <= 1000000 && server.sessions() > 0; ++i) {
     server.SendSuspects(frame, server.senders());
-    most_unsent = std::max(most_unsent, server.load().unsent_bytes);
+    max_unsent = std::max(max_unsent, server.load().unsent_bytes);
     if (i % 1000 == 0) {
       context.poll();
     }
     if (i % 50000 == 0) {
-      most = std::max(most, ResidentMb() - before);
+      max_mb = std::max(max_mb, ResidentMb() - before);
     }
   }
-  constexpr double kMostMb = 32;  // What a daemon may use for control.
-  EXPECT_LE(most_unsent, kPeers * 2 * kMostUnreadBytes);
-  if (kMemoryTells) {
-    EXPECT_LE(most, kMostMb);
+  constexpr double kMaxMb = 32;  // What a daemon may use for control.
+  EXPECT_LE(max_unsent, kPeers * 2 * kMostUnreadBytes);
+  if (kMemoryMeasurable) {
+    EXPECT_LE(max_mb, kMaxMb);
   }
 }
 
