--- a/src/forward/caller_protocol_concept.h
+++ b/src/forward/caller_protocol_concept.h
@@ -1,4 +1,4 @@
-// caller_protocol: what a protocol towards callers must offer.
+// caller_protocol: concept that a protocol towards callers must satisfy.
 #pragma once
 
 #include <concepts>
@@ -9,14 +9,14 @@
 
 namespace pistachioweir {
 
-// How one platform's callers speak to the daemon, over HTTP/1.1.
+// A platform's protocol between callers and the daemon, over HTTP/1.1.
 template <typename Protocol>
 concept caller_protocol = requires(read_request request,
                                    time_point now,
                                    const relayed_result& r) {
-  // A request as it came, as a call.
+  // Converts a received request to a call.
   { Protocol::Decode(std::move(request), now) } -> std::same_as<relayed_call>;
-  // The answer of the daemon itself; only for what isn't completed.
+  // The daemon's own response to a call that was not completed.
   { Protocol::Encode(r) } -> std::same_as<relayed_response>;
 };
 
--- a/src/forward/caller_server.h
+++ b/src/forward/caller_server.h
@@ -1,4 +1,4 @@
-// caller_server: the port for callers.
+// caller_server: accepts callers' connections.
 #pragma once
 
 #include <cstddef>
@@ -43,36 +43,36 @@
 
   void SetLimits(const caller_limits& limits) { state_->limits = limits; }
 
-  // Each connection ends behind its next answer; new ones are still taken.
+  // Closes each connection after its next response; still accepts new ones.
   void Drain() { state_->draining = true; }
 
-  // Requests are refused from now on; those in progress go on. A connection
-  // without one ends: what its caller sent next could only be refused.
+  // Refuses new requests; those in progress continue. Closes connections
+  // without one, since their next request could only be refused.
   void RefuseNew() {
     state_->refusing = true;
     CloseIdle();
   }
 
-  // Takes no more connections: callers that come are refused by the kernel and
-  // know that nothing of theirs was read. Those that are open go on.
+  // Stops accepting connections: the kernel refuses new callers, which then
+  // know that nothing of theirs was read. Open connections stay open.
   void StopListening() {
     listening_ = false;
     boost::system::error_code ignored;
     acceptor_.close(ignored);
   }
 
-  // Most that an answer took lately to be written.
+  // Recent maximum of the time that writing a response took.
   [[nodiscard]] duration MaxWriteTime(time_point now) {
     return state_->max_write_time.Get(now).value_or(duration(0));
   }
 
-  // Takes no more connections and ends those that are idle.
+  // Stops accepting connections and closes those that are idle.
   void Close() {
     StopListening();
     CloseIdle();
   }
 
-  // Where it listens; with port 0 in the options, the port that was given.
+  // The address it listens on; with port 0 in the options, the assigned port.
   [[nodiscard]] endpoint address() const { return LocalEndpoint(acceptor_); }
 
   [[nodiscard]] const caller_port_state& state() const { return *state_; }
@@ -92,9 +92,10 @@
   void Accept() {
     acceptor_.async_accept(
         [this](boost::system::error_code error, tcp::socket socket) {
-          // A connection may have been taken before the port was closed and
-          // only turn up here behind it, since several are taken at a time.
-          // Served, its request would be in progress when the daemon ends.
+          // A connection that was accepted before the port was closed may be
+          // delivered here only afterwards, since several are accepted at a
+          // time. If served, its request would be in progress when the daemon
+          // ends.
           if (error == boost::asio::error::operation_aborted || !listening_) {
             return;
           }
@@ -108,7 +109,7 @@
   }
 
   void TrackSession(const std::shared_ptr<session>& opened) {
-    // Ended ones are cleared once they may be half of all.
+    // Prunes ended sessions once they may be half of the list.
     if (sessions_.size() > 2 * state_->sessions + kPruneSlack) {
       std::erase_if(sessions_, [](const auto& weak) { return weak.expired(); });
     }
--- a/src/forward/caller_session.h
+++ b/src/forward/caller_session.h
@@ -1,7 +1,7 @@
 // caller_session: one connection of a caller.
 //
-// Requests may come before earlier ones have been answered; they are served at
-// the same time and answered in the order in which they came.
+// Requests may be pipelined: they are served concurrently and answered in the
+// order of their arrival.
 #pragma once
 
 #include <array>
@@ -29,31 +29,31 @@
 
 namespace pistachioweir {
 
-// What all sessions of one port share.
+// State shared by all sessions of one port.
 struct caller_port_state {
   origin& calls;
   caller_limits limits;
-  // Bytes of bodies that may be held for all callers together; more requests
-  // are refused until some have ended.
+  // Maximum bytes of request bodies held for all callers together; beyond it
+  // requests are refused until some have ended.
   std::size_t max_held_bytes = 64 << 20;
   std::size_t held_bytes = 0;
   std::size_t sessions = 0;
-  // Requests that were read and are not answered.
+  // Requests that were read and are not yet answered.
   std::size_t open_requests = 0;
   std::uint64_t requests = 0;
   std::uint64_t malformed = 0;
-  recent_maximum max_write_time;  // Of answers.
-  bool draining = false;  // Each connection ends behind its next answer.
-  bool refusing = false;  // Requests are refused, nothing of them runs.
+  recent_maximum max_write_time;  // Of responses.
+  bool draining = false;  // Each connection closes after its next response.
+  bool refusing = false;  // Requests are refused without being run.
 };
 
-// Requests of one connection that are served at the same time. More wait in the
-// socket.
+// Maximum of requests of one connection that are served concurrently. Further
+// ones wait in the socket.
 inline constexpr std::size_t kMaxPipelined = 32;
-// When to come back where too many bodies are held: requests end in about that
-// time.
+// Retry delay if too many bytes of bodies are held: requests end within about
+// that time.
 inline constexpr milliseconds kBodyLimitRetryAfter{1000};
-// A caller that takes none of its answer's bytes for this long is cut off.
+// A caller that reads nothing of its response for this long is disconnected.
 inline constexpr milliseconds kWriteTimeout{15000};
 
 // Kept alive by its pending operations.
@@ -83,7 +83,7 @@
     Read();
   }
 
-  // Ends the connection if nothing is in progress on it.
+  // Closes the connection if nothing is in progress on it.
   void CloseIfIdle() {
     if (exchanges_.empty() && !writing_ && received_.empty()) {
       Close();
@@ -93,14 +93,14 @@
  private:
   using error_code = boost::system::error_code;
 
-  // One request, from its head to its answer.
+  // One request and its response.
   struct exchange {
     origin::call_id call = 0;
     std::size_t held = 0;  // Bytes counted in held_bytes.
-    bool safe = false;     // Further requests may be served meanwhile.
+    bool safe = false;     // Further requests may be served concurrently.
     bool answered = false;
-    bool close = false;  // The connection ends behind the answer.
-    std::string head;    // Of the answer, as the body.
+    bool close = false;  // The connection closes after the response.
+    std::string head;    // Of the response, as is the body.
     std::string body;
   };
 
@@ -124,8 +124,8 @@
       return;
     }
     if (error) {
-      // The caller is gone, or says that it sends no more: whatever it still
-      // waited for has no one to go to.
+      // The caller disconnected or shut down its sending side: responses
+      // that it still waits for can't be delivered.
       Close();
       return;
     }
@@ -141,8 +141,8 @@
            (exchanges_.empty() || exchanges_.back()->safe);
   }
 
-  // Takes as many requests out of what was received as may be served now. One
-  // read stays pending in any case, so that the caller's leaving is noticed.
+  // Parses as many requests from the received bytes as may be served now. A
+  // read stays pending in any case, to detect that the caller disconnects.
   void ProcessReceived() {
     if (deferred_ && exchanges_.empty()) {
       Begin(*std::exchange(deferred_, std::nullopt));
@@ -168,9 +168,9 @@
       read_request request = reader_->Take();
       reader_.reset();
       continue_sent_ = false;
-      // A request that may run only once is not begun behind others: if an
-      // answer in front of it ends the connection, its caller takes it as not
-      // read and sends it again.
+      // A request that may run only once is not begun while others precede it:
+      // if an earlier response closes the connection, the caller assumes that
+      // this request was not read and sends it again.
       if (!IsSafe(request) && !exchanges_.empty()) {
         deferred_ = std::move(request);
         break;
@@ -227,7 +227,7 @@
     begun->call = id;
   }
 
-  // Nothing of the request goes further than this connection.
+  // Refuses the request without forwarding anything of it.
   void Refuse(const exchange_ptr& refused,
               std::string_view id,
               reason why,
@@ -335,8 +335,8 @@
     }
   }
 
-  // The answer must reach the caller although it may have sent more: closing a
-  // socket with unread bytes resets it, and the reset overtakes the answer.
+  // Closes without losing the response if the caller has sent more: closing a
+  // socket with unread bytes resets it, and the reset overtakes the response.
   void CloseGracefully() {
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
@@ -385,7 +385,7 @@
 
   void RecordProgress() { last_progress_ = monotonic_clock::now(); }
 
-  // When the connection is to be ended if nothing more happens on it.
+  // When to end the connection if nothing more happens on it.
   [[nodiscard]] time_point Deadline() const {
     if (lingering_) {
       return last_progress_ + kLingerTimeout;
@@ -402,8 +402,8 @@
     return last_progress_ + state_->limits.idle_timeout;
   }
 
-  // Looked at now and then, since the time is rarely up: a timer for each step
-  // of each request would cost more than it is worth.
+  // Polls the deadline, since it rarely expires: re-arming a timer at each step
+  // of each request would cost more.
   void ArmTimer() {
     timer_.expires_after(kTimerInterval);
     timer_.async_wait([self = std::weak_ptr<caller_session>(
@@ -426,7 +426,7 @@
       Close();
       return;
     }
-    // A request that was never whole has not run.
+    // An incomplete request has not run.
     auto refused = std::make_shared<exchange>();
     refused->close = true;
     last_request_ = true;
@@ -439,7 +439,7 @@
   }
 
   static constexpr std::size_t kReleased = SIZE_MAX;
-  // Bytes that are read ahead while nothing may be begun.
+  // Bytes that are read ahead while no request may be begun.
   static constexpr std::size_t kMaxReadAhead = 64 << 10;
   static constexpr milliseconds kTimerInterval{500};
   static constexpr milliseconds kLingerTimeout{1000};
@@ -448,18 +448,18 @@
   tcp::socket socket_;
   boost::asio::steady_timer timer_;
   std::array<char, 8192> chunk_{};
-  std::string received_;                  // Not taken by the reader yet.
-  std::optional<request_reader> reader_;  // Of a request that isn't whole.
-  // A whole request that is begun once those before it are answered.
+  std::string received_;                  // Not consumed by the reader yet.
+  std::optional<request_reader> reader_;  // Of an incomplete request.
+  // A complete request that is begun once those before it are answered.
   std::optional<read_request> deferred_;
   std::deque<exchange_ptr> exchanges_;  // In the order of the requests.
   time_point last_progress_;
-  time_point write_begun_;  // Of the last answer.
+  time_point write_begun_;  // Of the last response.
   time_point head_begun_;
   bool reading_ = false;
   bool writing_ = false;
   bool continue_sent_ = false;  // "100 Continue" was sent for this request.
-  bool last_request_ = false;   // No further request is taken.
+  bool last_request_ = false;   // No further request is accepted.
   bool lingering_ = false;
   bool closed_ = false;
 };
--- a/src/forward/executor.cc
+++ b/src/forward/executor.cc
@@ -1,4 +1,4 @@
-// Admission, running and answers of the target beside this daemon.
+// Admission, runs and answers of calls to the target beside this daemon.
 #include "src/forward/executor.h"
 
 #include <utility>
@@ -14,32 +14,32 @@
 namespace pistachioweir {
 namespace {
 
-// Requests that wait at one target. Deadlines bound the wait long before.
+// Maximum of requests queued for one target. Deadlines bound the wait first.
 constexpr std::uint32_t kMaxQueue = 1024;
-// Part of a target's slots that are used: some targets take longer for
-// everything from 95 in 100 busy slots on.
+// Fraction of a target's slots that is used: some targets slow down for all
+// requests from 95 in 100 busy slots on.
 constexpr double kUsableSlotFraction = 0.94;
-// Of a full target's work, what less important requests get. Half of what the
-// least important kind of the known deployments asks for; all of it would cost
-// more important ones as much.
+// Share of a full target's capacity that less important requests get: half of
+// the demand of the least important kind in the known deployments. All of it
+// would take as much from more important requests.
 constexpr double kAssuredShare = 0.2;
-// A target that nobody listens at is tried again after this while, with the
-// next call. Shorter than its restart takes, and long enough that callers are
+// A target that refused a connection is tried again after this delay, with the
+// next call. Shorter than a target's restart, and long enough that callers are
 // sent elsewhere in between.
 constexpr milliseconds kTargetRetryDelay{100};
-// When a caller that found no target here should come back.
+// Retry delay for a caller whose target is down.
 constexpr milliseconds kDownRetryAfter{500};
 constexpr milliseconds kDrainRetryAfter{50};
-// A few periods of the guard: the share has moved by then.
+// A few periods of the throttle: its share has changed by then.
 constexpr milliseconds kThrottledRetryAfter{500};
 
 microseconds ToMicroseconds(duration time) {
   return std::chrono::duration_cast<microseconds>(time);
 }
 
-// A request that crashed a target comes again with the same path and body, at
-// any daemon: its caller moves on when a daemon refuses it, to VMs of other
-// services as well, so those don't tell it apart.
+// A request that crashed a target is repeated with the same path and body, at
+// any daemon: after a refusal its caller tries other VMs, also of other
+// services, so VM and service are not part of the fingerprint.
 request_fingerprint FingerprintOf(const std::string& route,
                                   const relayed_request& request) {
   return Fingerprint({.service = {},
@@ -70,14 +70,14 @@
     : run_(std::move(run)),
       log_(log),
       wakeup_(context),
-      // What a run takes includes the calls that the target makes meanwhile, so
-      // that a slow service below would lower this target's limit.
+      // A run's duration includes the calls that the target makes, so a slow
+      // downstream service would lower an adaptive limit.
       admission_({.slots = 1,
                   .methods = kind_index::kMaxKinds,
                   .max_queue = kMaxQueue,
                   .adaptive_limit = false,
-                  // Levels refuse a share of each kind, calls of targets too,
-                  // whose requests are then lost whole.
+                  // Levels refuse a share of each kind, including calls made by
+                  // targets, which fail the whole request they belong to.
                   .use_level = false,
                   .assured_share = kAssuredShare}),
       suspects_(self) {}
@@ -208,10 +208,10 @@
   return now < target_down_until_;
 }
 
-// A request that would end behind its latency objective is refused while there
-// is still time for it to come back and be served within; run late, it would
-// earn its caller a part only and take a slot from one that is in time. One
-// that has no objective left is late already, and its deadline decides.
+// A request that would miss its latency objective is refused while a retry can
+// still meet it; run late, it would have only part of its value for the caller
+// and take a slot from one that is in time. If the objective has already
+// passed, the deadline decides.
 time_point executor::LatestStart(const served_call& served, time_point now) {
   const time_point wanted = served.objective > now
                                 ? std::min(served.objective, served.deadline)
@@ -219,7 +219,7 @@
   return std::min(wanted, served.start_by);
 }
 
-// What refuses the call before there is any question of room.
+// Why the call is refused regardless of free slots; kNone if it isn't.
 reason executor::RefusalOf(const served_call& served, time_point now) {
   if (draining_) {
     return reason::kDraining;
@@ -294,7 +294,7 @@
   return id;
 }
 
-// What followed from the last change: queued calls that run now or are refused.
+// Starts or refuses queued calls as the last change of admission decided.
 void executor::ProcessAdmissionEvents() {
   while (const auto event =
              admission_.TakeNext(monotonic_clock::now(), RandomBits32())) {
@@ -327,7 +327,7 @@
   });
 }
 
-// The target may have left while the request waited.
+// The target may have left while the request was queued.
 void executor::StartQueued(std::uint64_t id) {
   const time_point now = monotonic_clock::now();
   if (!HasTargetLeft(now)) {
--- a/src/forward/executor.h
+++ b/src/forward/executor.h
@@ -1,5 +1,5 @@
 // executor: runs calls on the target beside this daemon. Admits, queues or
-// refuses each, and says truthfully what became of it.
+// refuses each call and reports its definite or unknown outcome.
 #pragma once
 
 #include <array>
@@ -35,21 +35,21 @@
 
 class call_log;
 
-// When a request that is refused for crashing targets should come back: it
-// would only be refused again before.
+// Retry delay for a request that is refused for crashing targets: an earlier
+// retry would be refused again.
 inline constexpr milliseconds kQuarantineRetryAfter =
     quarantine_options{}.period;
 
-// Hands a request to the target; returns what gives it up.
+// Sends a request to the target; returns a function that cancels it.
 using target_runner =
     std::function<std::function<void()>(target_run run,
                                         std::function<void(run_result)> done)>;
 
 struct executor_counters {
   std::uint64_t completed = 0;
-  std::uint64_t refused = 0;  // Not executed, for whatever reason.
+  std::uint64_t refused = 0;  // Not executed, for any reason.
   std::uint64_t unknown = 0;
-  std::uint64_t ended_by_stop = 0;  // While the target was at work.
+  std::uint64_t ended_by_stop = 0;  // While the target was running them.
 };
 
 // Used on its context's thread only. Owns the admission state and every call
@@ -58,8 +58,8 @@
  public:
   using callback = std::function<void(answer_frame)>;
 
-  // Hears of requests that may have crashed the target, and of those that
-  // crash nothing after all, for other daemons.
+  // Receives suspects (requests that may have crashed the target) and cleared
+  // suspects, to publish to other daemons.
   using suspects_listener =
       std::function<void(const suspects_frame&, suspects_source)>;
 
@@ -68,13 +68,13 @@
            call_log& log,
            incarnation_id self = {});
 
-  // The target beside the daemon registered with so many slots.
+  // Sets the number of slots that the target beside the daemon registered.
   void SetSlots(std::uint32_t slots);
-  // The start of the target that is registered beside the daemon. Another one
-  // than before means that the one before has ended.
+  // Sets the instance of the target that is registered beside the daemon. A
+  // change means that the previous instance has ended.
   void SetTargetStart(const std::string& start);
-  // The start of the target beside the daemon if its entry is listed as ready,
-  // empty if it is leaving; nothing if it isn't listed.
+  // Sets the instance of the target beside the daemon if its entry is listed
+  // as ready, empty if it is leaving; nothing if it isn't listed.
   void SetListedTarget(std::optional<std::string> start) {
     if (!start) {
       vouching_.SetUnlisted(monotonic_clock::now());
@@ -84,9 +84,9 @@
       vouching_.SetTarget(*std::move(start));
     }
   }
-  // Tell how well the daemon keeps up with the platform's store, how long ago a
-  // daemon that reads it confirmed the view, and how long ago the store
-  // answered.
+  // Sets the sources of the state of the daemon's view of the platform's store,
+  // of the time since a daemon that reads the store confirmed the view, and of
+  // the time since the store answered.
   void SetViewState(std::function<view_state()> view,
                     std::function<milliseconds()> age,
                     std::function<std::optional<milliseconds>()> answered_ago) {
@@ -98,28 +98,30 @@
   void OnSuspects(suspects_listener listener) {
     on_suspects_ = std::move(listener);
   }
-  // Another daemon told of requests that may have crashed a target. What is
-  // news goes on to the listener. Returns what the other one doesn't know.
+  // Applies suspects received from another daemon. Forwards those that are new
+  // to the listener. Returns the received suspects that completed here
+  // recently, as cleared.
   suspects_frame ImportSuspects(const suspects_frame& received);
-  // For a daemon that connects.
+  // The initial suspects for a daemon that connects.
   [[nodiscard]] std::vector<quarantine_entry> KnownSuspects() const;
-  // Whether a request from a caller here is refused because such a one has
-  // crashed targets. Known here too, since the daemons beside the targets of a
-  // service don't hear of each other, but all of them tell their callers.
+  // Whether a request from a local caller is refused because equal requests
+  // have crashed targets. Checked at the caller's daemon too, since the daemons
+  // beside the targets of a service don't exchange suspects, but all of them
+  // publish theirs to their callers.
   [[nodiscard]] bool IsQuarantined(const std::string& route,
                                    const relayed_request& request,
                                    time_point now) const;
-  // A request of a caller here has been answered by its target.
+  // A request of a local caller was answered by its target.
   void NoteCompleted(const std::string& route,
                      const relayed_request& request,
                      const std::string& request_id,
                      time_point now);
-  // Once a second.
+  // To be called once a second.
   void Tick(time_point now);
 
-  // Runs the call and calls `done` once, now or later. Returns a name for it.
+  // Runs the call and calls `done` once, now or later. Returns the call's id.
   std::uint64_t Serve(call_frame call, callback done);
-  // Calls that the target makes find this pressure at a service.
+  // Sets the pressure of a service that the target calls.
   void UpdateDownstreamPressure(const std::string& service,
                                 double pressure,
                                 time_point now);
@@ -129,27 +131,28 @@
     downstream_failures_.Add(failed, now);
   }
 
-  // The caller has gone. A call that waits ends, one that may run again is
-  // stopped at the target. One that may run only once goes on to its end: half
-  // of it may be done, and its effect is wanted whole or not at all.
+  // Called when the caller disconnected. Ends a queued call, and stops a
+  // running one at the target if it may be repeated. A call that may run only
+  // once continues to its end: half of it may be done, and its effect must be
+  // complete or absent.
   void Cancel(std::uint64_t id);
 
-  // The daemon is stopping: others are told, and send calls here only if no
-  // other target can take them. Those are served.
+  // Announces that the daemon is stopping: other daemons then send calls here
+  // only if no other target can accept them. Such calls are served.
   void Leave() { leaving_ = true; }
-  // Refuses new calls from now on; those in progress go on.
+  // Refuses new calls from now on; those in progress continue.
   void Drain();
-  // Refuses all from now on, and answers what is in progress: not executed if
-  // it has not begun, else unknown.
+  // Refuses all calls from now on, and answers those in progress: not executed
+  // if the run has not begun, otherwise unknown.
   void EndOpenRuns();
   [[nodiscard]] bool leaving() const { return leaving_; }
-  // Most that a call took lately, from its arrival on.
+  // Recent maximum of a call's time from arrival to answer.
   [[nodiscard]] duration MaxRequestTime(time_point now) {
     return max_request_time_.Get(now).value_or(duration(0));
   }
   [[nodiscard]] std::size_t in_progress() const { return calls_.size(); }
   [[nodiscard]] load_report Load() const;
-  // What callers' daemons are told besides.
+  // Sent to callers' daemons with each answer, besides the load.
   [[nodiscard]] neighbour_report Report() const;
   [[nodiscard]] const executor_counters& counters() const { return counters_; }
 
@@ -160,16 +163,16 @@
     time_point arrived;
     time_point started;
     time_point deadline;
-    time_point start_by;     // The latest start, whatever else bounds it.
-    time_point objective;    // Within which an answer is worth most.
-    std::uint32_t kind = 0;  // Of work, for the estimates of its duration.
+    time_point start_by;     // Latest start, besides other bounds.
+    time_point objective;    // Latency objective.
+    std::uint32_t kind = 0;  // Of call, for the duration estimates.
     request_fingerprint fingerprint;
     admission_handle admitted;
     std::function<void()> cancel;  // Only while it runs.
     bool caller_disconnected = false;
   };
 
-  // What is learnt of one kind of work.
+  // State of one kind of call.
   struct kind_state {
     adaptive_throttle throttle;
     caller_mix callers;
@@ -196,7 +199,7 @@
   void Answer(std::uint64_t id, answer_frame answer);
   void ProcessAdmissionEvents();
   void ArmWakeup();
-  // Nothing if no called service told of any lately.
+  // Nothing if no called service reported any recently.
   [[nodiscard]] std::optional<double> DownstreamPressure(time_point now) const;
   [[nodiscard]] double OwnPressure(time_point now) const;
   void UpdateTargetState(const run_result& result, time_point now);
@@ -207,7 +210,8 @@
   void LogVouching(const view_state& view, time_point now);
   void PublishCleared(const request_fingerprint& request,
                       const std::string& request_id);
-  // Requests mustn't reach the target any more, whatever their senders know.
+  // Whether requests mustn't reach the target any more, even if their senders'
+  // views still list it.
   [[nodiscard]] bool HasTargetLeft(time_point now) const;
   [[nodiscard]] bool IsTargetDown(time_point now) const;
 
@@ -226,14 +230,14 @@
   std::string target_start_;  // Empty until one is registered.
   crash_suspects suspects_;
   target_vouching vouching_;
-  std::string logged_vouched_;  // As it was logged last.
+  std::string logged_vouched_;  // As last logged.
   std::function<view_state()> view_state_;
   std::function<milliseconds()> view_age_;
   std::function<std::optional<milliseconds>()> store_answered_ago_;
   suspects_listener on_suspects_;
   bool slots_known_ = false;
   bool leaving_ = false;
-  bool draining_ = false;  // And leaving.
+  bool draining_ = false;  // Implies leaving_.
   recent_maximum max_request_time_;
   executor_counters counters_;
 };
--- a/src/forward/executor_reports.cc
+++ b/src/forward/executor_reports.cc
@@ -1,5 +1,5 @@
-// What the executor tells other daemons: its load, its view and what it vouches
-// for.
+// Reports of the executor to other daemons: its load, its view and the target
+// that it vouches for.
 #include <algorithm>
 #include <chrono>
 #include <optional>
@@ -12,8 +12,8 @@
 namespace pistachioweir {
 namespace {
 
-// What was heard of pressure longer ago than this counts no more; calls and
-// their answers come many times in it where there is any pressure.
+// Pressure reports older than this are ignored; under pressure many calls and
+// answers are exchanged within this time.
 constexpr milliseconds kPressureValidity{1000};
 
 }  // namespace
@@ -50,7 +50,8 @@
           .store_answered_ago = store_answered_ago_()};
 }
 
-// How long calls of targets would wait here, against half of their objective.
+// Maximum ratio of the estimated wait of calls made by targets to half of their
+// objective.
 double executor::OwnPressure(time_point now) const {
   constexpr double kHalf = 0.5;
   double max_pressure = 0;
--- a/src/forward/run_outcome.cc
+++ b/src/forward/run_outcome.cc
@@ -1,4 +1,4 @@
-// Ends of runs as outcomes.
+// Mapping of run ends to outcomes.
 #include "src/forward/run_outcome.h"
 
 #include <utility>
--- a/src/forward/run_outcome.h
+++ b/src/forward/run_outcome.h
@@ -1,5 +1,5 @@
-// run_outcome: what the end of a run means for the caller, in one place for
-// both sides of a connection between daemons.
+// run_outcome: maps the end of a run to the outcome reported to the caller.
+// Both sides of a connection between daemons use this mapping.
 #pragma once
 
 #include "src/forward/target_run.h"
@@ -7,10 +7,10 @@
 
 namespace pistachioweir {
 
-// 500 and above: the target answered that it failed.
+// True for 500 and above: the target reported a failure.
 [[nodiscard]] bool IsServerError(int status);
 
-// The outcome of a run, without the number and the load.
+// Builds the answer to a run, without its number and load report.
 [[nodiscard]] answer_frame ToAnswerFrame(run_result result);
 
 }  // namespace pistachioweir
--- a/src/forward/target_connection.h
+++ b/src/forward/target_connection.h
@@ -26,15 +26,15 @@
 
 namespace pistachioweir {
 
-// How long the kernel tries to bring bytes to a target on the same machine
-// before the connection counts as silent. Loopback acknowledges within
-// microseconds; the rest is for a machine that is short of processor time.
+// How long the kernel waits for a target on the same machine to acknowledge
+// bytes before it ends the connection. Loopback acknowledges within
+// microseconds; the margin is for a machine that is short of processor time.
 inline constexpr milliseconds kTargetAckTimeout{1000};
 inline constexpr milliseconds kTargetConnectTimeout{500};
-// An idle connection is left this long before the target would close it, or a
-// request would cross that close and be lost.
+// An idle connection is not used again from this long before the target would
+// close it: a request that crosses the close would be lost.
 inline constexpr milliseconds kIdleMargin{1000};
-// Where a target doesn't tell how long it keeps idle connections.
+// Used if the target doesn't announce how long it keeps idle connections.
 inline constexpr milliseconds kDefaultIdleTimeout{4000};
 
 // Owns the socket. Kept alive by its pending operations, and by the pool while
@@ -52,7 +52,7 @@
                     const read_limits& limits)
       : socket_(context), timer_(context), target_(target), limits_(limits) {}
 
-  // `on_free` hears if the connection may be used again.
+  // Sends `run`. `on_reusable` is called if the connection may be used again.
   void Run(target_run run, callback done, listener on_reusable) {
     run_ = std::move(run);
     done_ = std::move(done);
@@ -71,7 +71,8 @@
     }
   }
 
-  // Idle from now on; `on_closed` hears when it ends by itself.
+  // Marks the connection idle. `on_closed` is called if the target closes it or
+  // sends unsolicited bytes.
   void WaitIdle(listener on_closed) {
     idle_since_ = monotonic_clock::now();
     on_closed_ = std::move(on_closed);
@@ -147,7 +148,7 @@
     const auto left = std::chrono::duration_cast<milliseconds>(
         run_.deadline - monotonic_clock::now());
     if (left.count() <= 0) {
-      // Later, as everywhere: the caller of Run() doesn't expect its end yet.
+      // Posted, since `done` must never be called from within Run().
       boost::asio::post(socket_.get_executor(),
                         [self = this->shared_from_this()] {
                           if (self->done_ && self->head_.empty()) {
@@ -162,14 +163,14 @@
     boost::asio::async_write(
         socket_, parts,
         [self = this->shared_from_this()](error_code error, std::size_t) {
-          // A write error shows on the read as well, which may still have an
-          // answer in front of it.
+          // A write error shows on the read as well, where a response may
+          // still precede it.
           self->written_ = !error;
         });
   }
 
-  // One read is always pending, also while the connection is idle, so that its
-  // end is noticed before a request is sent into it.
+  // One read is always pending, also while the connection is idle, so that a
+  // close by the target is detected before a request is sent on it.
   void Read() {
     socket_.async_read_some(
         boost::asio::buffer(chunk_),
@@ -180,7 +181,7 @@
 
   void OnRead(error_code error, std::size_t bytes) {
     if (!done_) {
-      // The end of an idle connection, or bytes that belong to no request.
+      // The target closed the idle connection or sent unsolicited bytes.
       CloseWhileIdle();
       return;
     }
@@ -195,7 +196,7 @@
     }
   }
 
-  // Whether to read on.
+  // Returns whether to continue reading.
   bool ProcessReceived() {
     for (;;) {
       std::size_t taken = 0;
@@ -219,8 +220,8 @@
   }
 
   void OnReadError(error_code error) {
-    // An answer without a length ends with its connection, if that ends in good
-    // order; after a reset nobody knows how much is missing.
+    // A response without a length ends with its connection, if that is closed
+    // in order; after a reset it is unknown how much is missing.
     if (error == boost::asio::error::eof &&
         reader_->FeedEnd() == read_state::kDone && OnMessage(reader_->Take())) {
       return;
@@ -230,7 +231,7 @@
     }
   }
 
-  // Whether the request has its answer.
+  // Returns whether the request has been answered.
   bool OnMessage(read_response response) {
     constexpr int kFirstFinalStatus = 200;
     if (response.status < kFirstFinalStatus) {
@@ -266,7 +267,7 @@
     }
   }
 
-  // "timeout=N" in whole seconds.
+  // Parses "timeout=N", in whole seconds.
   static milliseconds IdleTime(std::string_view keep_alive) {
     constexpr std::string_view kName = "timeout=";
     const std::size_t at = keep_alive.find(kName);
@@ -308,24 +309,24 @@
   }
 
   tcp::socket socket_;
-  boost::asio::steady_timer timer_;  // Of the run's deadline.
+  boost::asio::steady_timer timer_;  // Expires at the run's deadline.
   const endpoint target_;
   const read_limits limits_;
 
   target_run run_;
-  callback done_;         // Set exactly while a request is in progress.
+  callback done_;         // Set only while a request is in progress.
   listener on_reusable_;  // Likewise.
   listener on_closed_;    // Set only while idle.
   std::optional<response_reader> reader_;
   std::string head_;
-  std::string buffer_;  // Bytes that the reader has not taken.
+  std::string buffer_;  // Bytes that the reader has not consumed.
   std::array<char, 16384> chunk_{};
   time_point idle_since_;
   milliseconds max_idle_ = kDefaultIdleTimeout;
   bool connected_ = false;
-  bool response_begun_ = false;  // Bytes came since the request began.
-  bool clean_ = true;            // Nothing unexpected came.
-  bool written_ = false;         // The whole request has left.
+  bool response_begun_ = false;  // Bytes were received for this request.
+  bool clean_ = true;            // Nothing unexpected was received.
+  bool written_ = false;         // The whole request was sent.
 };
 
 }  // namespace pistachioweir
--- a/src/forward/target_pool.h
+++ b/src/forward/target_pool.h
@@ -1,8 +1,8 @@
-// target_pool: the connections to the target beside the daemon.
+// target_pool: pool of connections to the target beside the daemon.
 //
-// A connection carries one request at a time. One on which anything unexpected
-// came is closed and never used again: bytes left over from one answer would be
-// taken for the beginning of the next.
+// A connection carries one request at a time. A connection that received
+// anything unexpected is closed and not reused: bytes left over from one
+// response would be read as the beginning of the next.
 #pragma once
 
 #include <cstddef>
@@ -44,7 +44,7 @@
   target_pool(const target_pool&) = delete;
   target_pool& operator=(const target_pool&) = delete;
 
-  // Calls `done` once, later.
+  // Calls `done` exactly once, never from within Run().
   handle Run(target_run run, callback done) {
     auto chosen = TakeIdle();
     const bool reused = chosen != nullptr;
@@ -61,8 +61,8 @@
     return chosen;
   }
 
-  // Gives the run up: its connection is closed and `done` hears kCancelled,
-  // unless it has ended.
+  // Cancels the run unless it has ended: closes its connection and calls `done`
+  // with kCancelled.
   static void Cancel(const handle& run) {
     if (const auto found = run.lock()) {
       found->Cancel();
@@ -87,12 +87,12 @@
     boost::asio::io_context& context;
     endpoint target;
     read_limits limits;
-    std::list<std::shared_ptr<connection>> idle;  // Last used in front.
+    std::list<std::shared_ptr<connection>> idle;  // Most recently used first.
     target_pool_counters counters;
   };
 
-  // The one that was used last: those behind it grow old and are closed, so
-  // that the pool shrinks with the load.
+  // Takes the most recently used connection: the others reach their idle limit
+  // and are closed, so that the pool shrinks with the load.
   std::shared_ptr<connection> TakeIdle() {
     while (!shared_->idle.empty()) {
       auto front = shared_->idle.front();
--- a/src/forward/target_run.h
+++ b/src/forward/target_run.h
@@ -1,5 +1,5 @@
-// target_run: one request handed to the target beside the daemon, and how that
-// ended. What a protocol towards targets must offer.
+// target_run: one request sent to the target beside the daemon, and its result.
+// Also the concept that a protocol towards targets must satisfy.
 #pragma once
 
 #include <concepts>
@@ -17,20 +17,20 @@
 struct target_run {
   relayed_request request;
   std::string request_id;
-  std::string target_id;  // The start of the target that must run it.
+  std::string target_id;  // The instance of the target that must run it.
   std::string caller_service;
-  std::string organisation;  // That the request is for; may be empty.
+  std::string organisation;  // On whose behalf; may be empty.
   repeat_policy repeats = repeat_policy::kAtMostOnce;
   time_point deadline;
 };
 
-// How a run ended. Only the first four are definite.
+// How a run ended. Only the first four tell for certain whether it ran.
 enum class run_end : std::uint8_t {
   kAnswered,
-  kNotExecuted,  // The target says that it hasn't run the request.
-  kWrongTarget,  // Another start of the target is there; likewise.
-  kNotSent,      // No byte of the request has left.
-  kLost,         // The connection ended or made no sense.
+  kNotExecuted,  // The target reports that it hasn't run the request.
+  kWrongTarget,  // Not run: another instance of the target answers.
+  kNotSent,      // No byte of the request was sent.
+  kLost,         // The connection ended or the response was malformed.
   kTimedOut,
   kCancelled,
 };
@@ -42,29 +42,29 @@
 struct run_result {
   run_end end = run_end::kLost;
   relayed_response response;  // With kAnswered.
-  // No connection could be opened: nobody listens there.
+  // The connection was refused: no process listens on the port.
   bool connection_refused = false;
-  // The connection ended before any byte of an answer, as all of a target's
-  // do when its process ends.
+  // The connection ended before any byte of a response, as all connections of
+  // a target do when its process ends.
   bool interrupted = false;
-  // With kAnswered: the target ended the connection behind its answer.
+  // With kAnswered: the target closes the connection after its response.
   bool closing = false;
 };
 
-// What one answer on a target's connection says.
+// Classification of a response on a target's connection.
 enum class target_answer : std::uint8_t {
-  kAnswer,        // To this request.
-  kNotExecuted,   // Likewise; the request hasn't run.
-  kWrongTarget,   // Likewise, since another target was meant.
-  kOtherRequest,  // A late or second answer to a request of before.
+  kAnswer,        // A response to this request.
+  kNotExecuted,   // Same, and the request hasn't run.
+  kWrongTarget,   // Same, because another target was addressed.
+  kOtherRequest,  // A late or duplicate response to an earlier request.
 };
 
-// How one platform speaks to targets, over HTTP/1.1.
+// A platform's protocol towards targets, over HTTP/1.1.
 template <typename Protocol>
 concept target_protocol = requires(const target_run& run,
                                    milliseconds left,
                                    const read_response& r) {
-  // Headers besides the caller's own, as a block.
+  // Headers to add to the caller's own, as a block.
   { Protocol::Headers(run, left) } -> std::same_as<std::string>;
   { Protocol::Classify(run, r) } -> std::same_as<target_answer>;
 };
--- a/tests/support/fake_http_target.h
+++ b/tests/support/fake_http_target.h
@@ -1,4 +1,5 @@
-// fake_http_target: a target on loopback whose every byte a test decides.
+// fake_http_target: a target on loopback whose responses the test sends byte by
+// byte.
 #pragma once
 
 #include <array>
@@ -18,7 +19,7 @@
 
 namespace pistachioweir {
 
-// Reads requests and hands each to the test together with its connection.
+// Reads requests and passes each to the test together with its connection.
 // Used on its context's thread.
 class fake_http_target {
  public:
@@ -35,12 +36,13 @@
       boost::asio::write(socket_, boost::asio::buffer(bytes), ignored);
     }
 
-    // In good order, or as a process that ends.
+    // Closes in order.
     void Close() {
       boost::system::error_code ignored;
       socket_.shutdown(tcp::socket::shutdown_both, ignored);
       socket_.close(ignored);
     }
+    // Resets the connection, as a process that crashes.
     void Reset() {
       boost::system::error_code ignored;
       socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -111,7 +113,7 @@
     return {.ip = "127.0.0.1", .port = acceptor_.local_endpoint().port()};
   }
 
-  // Nobody listens any more, and all connections are reset.
+  // Stops listening and resets all connections.
   void Crash() {
     boost::system::error_code ignored;
     acceptor_.close(ignored);
@@ -122,7 +124,7 @@
     }
   }
 
-  // A whole answer in the platform's form.
+  // A complete response in the platform's format.
   static std::string Answer(const read_request& request,
                             const std::string& body,
                             int status = 200,
--- a/tests/support/raw_socket.cc
+++ b/tests/support/raw_socket.cc
@@ -1,4 +1,4 @@
-// Plain sockets with a timeout.
+// Blocking sockets with a receive timeout.
 #include "tests/support/raw_socket.h"
 
 #include <arpa/inet.h>
--- a/tests/support/raw_socket.h
+++ b/tests/support/raw_socket.h
@@ -1,4 +1,4 @@
-// Bytes sent as they are, for tests of input that no HTTP library would write.
+// Sends raw bytes, for tests of input that no HTTP library would produce.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace pistachioweir {
 
-// Connects, sends `bytes`, ends the sending side if `half_close`, and returns
-// all that comes back until the other side closes or is silent for a while.
+// Connects, sends `bytes`, shuts down the sending side if `half_close`, and
+// returns all received bytes until the peer closes or a receive times out.
 [[nodiscard]] std::string ExchangeBytes(const endpoint& address,
                                         std::string_view bytes,
                                         bool half_close = false);
--- a/tests/support/run_until.h
+++ b/tests/support/run_until.h
@@ -1,4 +1,4 @@
-// run_until: drives a test's asynchronous parts until something has happened.
+// run_until: runs an io_context until a test's condition holds.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,16 +11,16 @@
 
 namespace pistachioweir {
 
-// Only ends a test that hangs.
+// Ends a test that hangs.
 inline constexpr milliseconds kTestTimeout{20000};
 
-// Runs what is ready or becomes so until `done` holds.
+// Runs ready handlers until `done` holds.
 inline ::testing::AssertionResult RunUntil(boost::asio::io_context& context,
                                            const std::function<bool()>& done) {
   const time_point end = monotonic_clock::now() + kTestTimeout;
   while (!done()) {
     if (monotonic_clock::now() > end) {
-      return ::testing::AssertionFailure() << "nothing happened";
+      return ::testing::AssertionFailure() << "condition not met in time";
     }
     context.restart();
     context.run_one_for(milliseconds(10));
--- a/tests/unread_peers_test.cc
+++ b/tests/unread_peers_test.cc
@@ -1,4 +1,4 @@
-// A peer that connects, says hello and doesn't read.
+// Peers that connect, send a hello frame and don't read.
 #include "src/peer/peer_server.h"
 
 #include <gtest/gtest.h>
@@ -26,8 +26,8 @@
 
 using tcp = boost::asio::ip::tcp;
 
-// The address sanitizer keeps what is freed, so that memory in use can't be
-// told from the outside.
+// The address sanitizer delays the reuse of freed memory, so that the resident
+// size doesn't show the memory in use.
 #if defined(__SANITIZE_ADDRESS__)
 constexpr bool kMemoryMeasurable = false;
 #else
@@ -42,8 +42,8 @@
   return static_cast<double>(resident) * 4096 / (1 << 20);
 }
 
-// Guards against memory that is used up by, and a crash at the end of,
-// connections that bring nothing forward.
+// Guards against unbounded memory for connections whose peers don't read, and
+// against a crash when such connections end.
 TEST(UnreadPeersTest, MemoryForPeersThatDontReadIsBounded) {
   boost::asio::io_context context;
   call_log log{{}};
@@ -85,7 +85,7 @@
       max_mb = std::max(max_mb, ResidentMb() - before);
     }
   }
-  constexpr double kMaxMb = 32;  // What a daemon may use for control.
+  constexpr double kMaxMb = 32;  // A daemon's limit for control traffic.
   EXPECT_LE(max_unsent, kPeers * 2 * kMostUnreadBytes);
   if (kMemoryMeasurable) {
     EXPECT_LE(max_mb, kMaxMb);
