--- a/src/forward/executor.h
+++ b/src/forward/executor.h
@@ -184,7 +184,7 @@
 
   struct downstream_service {
     double pressure = 0;
-    time_point received;
+    time_point received_at;
   };
 
   using call_map = std::unordered_map<std::uint64_t, served_call>;
--- a/src/forward/executor_reports.cc
+++ b/src/forward/executor_reports.cc
@@ -72,13 +72,13 @@
 void executor::UpdateDownstreamPressure(const std::string& service,
                                         double pressure,
                                         time_point now) {
-  downstream_[service] = {.pressure = pressure, .received = now};
+  downstream_[service] = {.pressure = pressure, .received_at = now};
 }
 
 std::optional<double> executor::DownstreamPressure(time_point now) const {
   std::optional<double> max_pressure;
   for (const auto& [service, state] : downstream_) {
-    if (now - state.received <= kPressureValidity) {
+    if (now - state.received_at <= kPressureValidity) {
       max_pressure = std::max(max_pressure.value_or(0), state.pressure);
     }
   }
