--- a/src/forward/target_connection.h
+++ b/src/forward/target_connection.h
@@ -26,16 +26,16 @@
 
 namespace pistachioweir {
 
-// How long the kernel tries to bring bytes to a target on the same machine
-// before the connection counts as silent. Loopback acknowledges within
-// microseconds; the rest is for a machine that is short of processor time.
-inline constexpr milliseconds kTargetSilence{1000};
+// How long the kernel waits for a target on the same machine to acknowledge
+// bytes before it ends the connection. Loopback acknowledges within
+// microseconds; the margin is for a machine that is short of processor time.
+inline constexpr milliseconds kTargetAckTimeout{1000};
 inline constexpr milliseconds kTargetConnectTimeout{500};
-// An idle connection is left this long before the target would close it, or a
-// request would cross that close and be lost.
+// An idle connection is not used again from this long before the target would
+// close it: a request that crosses the close would be lost.
 inline constexpr milliseconds kIdleMargin{1000};
-// Where a target doesn't tell how long it keeps idle connections.
-inline constexpr milliseconds kDefaultIdle{4000};
+// Used if the target doesn't announce how long it keeps idle connections.
+inline constexpr milliseconds kDefaultIdleTimeout{4000};
 
 // Owns the socket. Kept alive by its pending operations, and by the pool while
 // it is idle.
@@ -52,13 +52,13 @@
                     const read_limits& limits)
       : socket_(context), timer_(context), target_(target), limits_(limits) {}
 
-  // `on_free` hears if the connection may be used again.
-  void Run(target_run run, callback done, listener on_free) {
+  // Sends `run`. `on_reusable` is called if the connection may be used again.
+  void Run(target_run run, callback done, listener on_reusable) {
     run_ = std::move(run);
     done_ = std::move(done);
-    on_free_ = std::move(on_free);
+    on_reusable_ = std::move(on_reusable);
     on_closed_ = nullptr;
-    got_any_ = false;
+    response_begun_ = false;
     clean_ = true;
     written_ = false;
     head_.clear();
@@ -71,19 +71,20 @@
     }
   }
 
-  // Idle from now on; `on_closed` hears when it ends by itself.
+  // Marks the connection idle. `on_closed` is called if the target closes it or
+  // sends unsolicited bytes.
   void WaitIdle(listener on_closed) {
     idle_since_ = monotonic_clock::now();
     on_closed_ = std::move(on_closed);
   }
 
   [[nodiscard]] bool IsUsable(time_point now) const {
-    return socket_.is_open() && now - idle_since_ < most_idle_;
+    return socket_.is_open() && now - idle_since_ < max_idle_;
   }
 
   void Cancel() {
     if (done_) {
-      End({.end = run_end::kCancelled});
+      FinishAndClose({.end = run_end::kCancelled});
     }
   }
 
@@ -102,7 +103,7 @@
     timer_.async_wait([self = this->shared_from_this(),
                        deadline = run_.deadline](error_code error) {
       if (!error && self->done_ && self->run_.deadline == deadline) {
-        self->End({.end = run_end::kTimedOut});
+        self->FinishAndClose({.end = run_end::kTimedOut});
       }
     });
   }
@@ -117,7 +118,7 @@
     timeout->expires_after(kTargetConnectTimeout);
     timeout->async_wait([self = this->shared_from_this()](error_code error) {
       if (!error && !self->connected_ && self->done_) {
-        self->End({.end = run_end::kNotSent});
+        self->FinishAndClose({.end = run_end::kNotSent});
       }
     });
     socket_.async_connect(
@@ -132,12 +133,13 @@
       return;
     }
     if (error) {
-      End({.end = run_end::kNotSent,
-           .refused = error == boost::asio::error::connection_refused});
+      FinishAndClose({.end = run_end::kNotSent,
+                      .connection_refused =
+                          error == boost::asio::error::connection_refused});
       return;
     }
     connected_ = true;
-    SetUpConnection(socket_, kTargetSilence);
+    SetUpConnection(socket_, kTargetAckTimeout);
     Write();
     Read();
   }
@@ -146,11 +148,11 @@
     const auto left = std::chrono::duration_cast<milliseconds>(
         run_.deadline - monotonic_clock::now());
     if (left.count() <= 0) {
-      // Later, as everywhere: the caller of Run() doesn't expect its end yet.
+      // Posted, since `done` must never be called from within Run().
       boost::asio::post(socket_.get_executor(),
                         [self = this->shared_from_this()] {
                           if (self->done_ && self->head_.empty()) {
-                            self->End({.end = run_end::kNotSent});
+                            self->FinishAndClose({.end = run_end::kNotSent});
                           }
                         });
       return;
@@ -161,14 +163,14 @@
     boost::asio::async_write(
         socket_, parts,
         [self = this->shared_from_this()](error_code error, std::size_t) {
-          // A write error shows on the read as well, which may still have an
-          // answer in front of it.
+          // A write error shows on the read as well, where a response may
+          // still precede it.
           self->written_ = !error;
         });
   }
 
-  // One read is always pending, also while the connection is idle, so that its
-  // end is noticed before a request is sent into it.
+  // One read is always pending, also while the connection is idle, so that a
+  // close by the target is detected before a request is sent on it.
   void Read() {
     socket_.async_read_some(
         boost::asio::buffer(chunk_),
@@ -179,23 +181,23 @@
 
   void OnRead(error_code error, std::size_t bytes) {
     if (!done_) {
-      // The end of an idle connection, or bytes that belong to no request.
-      Retire();
+      // The target closed the idle connection or sent unsolicited bytes.
+      CloseWhileIdle();
       return;
     }
     if (error) {
-      OnEnd(error);
+      OnReadError(error);
       return;
     }
-    got_any_ = true;
+    response_begun_ = true;
     buffer_.append(chunk_.data(), bytes);
-    if (Digest()) {
+    if (ProcessReceived()) {
       Read();
     }
   }
 
-  // Whether to read on.
-  bool Digest() {
+  // Returns whether to continue reading.
+  bool ProcessReceived() {
     for (;;) {
       std::size_t taken = 0;
       const read_state state = reader_->Feed(buffer_, &taken);
@@ -204,7 +206,7 @@
         return true;
       }
       if (state == read_state::kFailed) {
-        End({.end = run_end::kLost});
+        FinishAndClose({.end = run_end::kLost});
         return false;
       }
       if (OnMessage(reader_->Take())) {
@@ -217,19 +219,19 @@
     }
   }
 
-  void OnEnd(error_code error) {
-    // An answer without a length ends with its connection, if that ends in good
-    // order; after a reset nobody knows how much is missing.
+  void OnReadError(error_code error) {
+    // A response without a length ends with its connection, if that is closed
+    // in order; after a reset it is unknown how much is missing.
     if (error == boost::asio::error::eof &&
         reader_->FeedEnd() == read_state::kDone && OnMessage(reader_->Take())) {
       return;
     }
     if (done_) {
-      End({.end = run_end::kLost, .cut = !got_any_});
+      FinishAndClose({.end = run_end::kLost, .interrupted = !response_begun_});
     }
   }
 
-  // Whether the request has its answer.
+  // Returns whether the request has been answered.
   bool OnMessage(read_response response) {
     constexpr int kFirstFinalStatus = 200;
     if (response.status < kFirstFinalStatus) {
@@ -246,10 +248,10 @@
                        .body = std::move(response.body)};
     if (written_ && clean_ && buffer_.empty() && response.keep_alive &&
         socket_.is_open()) {
-      most_idle_ = IdleTime(response.keep_alive_header);
-      Free(std::move(result));
+      max_idle_ = IdleTime(response.keep_alive_header);
+      FinishAndKeep(std::move(result));
     } else {
-      End(std::move(result));
+      FinishAndClose(std::move(result));
     }
     return true;
   }
@@ -265,40 +267,41 @@
     }
   }
 
-  // "timeout=N" in whole seconds.
+  // Parses "timeout=N", in whole seconds.
   static milliseconds IdleTime(std::string_view keep_alive) {
     constexpr std::string_view kName = "timeout=";
     const std::size_t at = keep_alive.find(kName);
     if (at == keep_alive.npos) {
-      return kDefaultIdle;
+      return kDefaultIdleTimeout;
     }
     const std::string_view rest = keep_alive.substr(at + kName.size());
     const auto number =
         ParseNumber(rest.substr(0, rest.find_first_not_of("0123456789")));
     if (!number) {
-      return kDefaultIdle;
+      return kDefaultIdleTimeout;
     }
-    const milliseconds told = seconds(*number);
-    return told > 2 * kIdleMargin ? told - kIdleMargin : told / 2;
+    const milliseconds announced = seconds(*number);
+    return announced > 2 * kIdleMargin ? announced - kIdleMargin
+                                       : announced / 2;
   }
 
-  void Free(run_result result) {
+  void FinishAndKeep(run_result result) {
     timer_.cancel();
     auto done = std::exchange(done_, nullptr);
-    const auto on_free = std::exchange(on_free_, nullptr);
-    on_free(this->shared_from_this());
+    const auto on_reusable = std::exchange(on_reusable_, nullptr);
+    on_reusable(this->shared_from_this());
     done(std::move(result));
   }
 
-  void End(run_result result) {
+  void FinishAndClose(run_result result) {
     Close();
     connected_ = false;
     auto done = std::exchange(done_, nullptr);
-    on_free_ = nullptr;
+    on_reusable_ = nullptr;
     done(std::move(result));
   }
 
-  void Retire() {
+  void CloseWhileIdle() {
     Close();
     if (const auto on_closed = std::exchange(on_closed_, nullptr)) {
       on_closed(this->shared_from_this());
@@ -306,24 +309,24 @@
   }
 
   tcp::socket socket_;
-  boost::asio::steady_timer timer_;  // Of the run's deadline.
+  boost::asio::steady_timer timer_;  // Expires at the run's deadline.
   const endpoint target_;
   const read_limits limits_;
 
   target_run run_;
-  callback done_;       // Set exactly while a request is in progress.
-  listener on_free_;    // Likewise.
-  listener on_closed_;  // Set only while idle.
+  callback done_;         // Set only while a request is in progress.
+  listener on_reusable_;  // Likewise.
+  listener on_closed_;    // Set only while idle.
   std::optional<response_reader> reader_;
   std::string head_;
-  std::string buffer_;  // Bytes that the reader has not taken.
+  std::string buffer_;  // Bytes that the reader has not consumed.
   std::array<char, 16384> chunk_{};
   time_point idle_since_;
-  milliseconds most_idle_ = kDefaultIdle;
+  milliseconds max_idle_ = kDefaultIdleTimeout;
   bool connected_ = false;
-  bool got_any_ = false;  // Bytes came since the request began.
-  bool clean_ = true;     // Nothing unexpected came.
-  bool written_ = false;  // The whole request has left.
+  bool response_begun_ = false;  // Bytes were received for this request.
+  bool clean_ = true;            // Nothing unexpected was received.
+  bool written_ = false;         // The whole request was sent.
 };
 
 }  // namespace pistachioweir
--- a/tests/support/fake_http_target.h
+++ b/tests/support/fake_http_target.h
@@ -1,4 +1,5 @@
-// fake_http_target: a target on loopback whose every byte a test decides.
+// fake_http_target: a target on loopback whose responses the test sends byte by
+// byte.
 #pragma once
 
 #include <array>
@@ -18,7 +19,7 @@
 
 namespace pistachioweir {
 
-// Reads requests and hands each to the test together with its connection.
+// Reads requests and passes each to the test together with its connection.
 // Used on its context's thread.
 class fake_http_target {
  public:
@@ -35,12 +36,13 @@
       boost::asio::write(socket_, boost::asio::buffer(bytes), ignored);
     }
 
-    // In good order, or as a process that ends.
+    // Closes in order.
     void Close() {
       boost::system::error_code ignored;
       socket_.shutdown(tcp::socket::shutdown_both, ignored);
       socket_.close(ignored);
     }
+    // Resets the connection, as a process that crashes.
     void Reset() {
       boost::system::error_code ignored;
       socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -57,13 +59,13 @@
               return;
             }
             self->buffer_.append(self->chunk_.data(), bytes);
-            self->Digest();
+            self->ProcessReceived();
             self->Read();
           });
     }
 
    private:
-    void Digest() {
+    void ProcessReceived() {
       while (!buffer_.empty()) {
         if (!reader_) {
           reader_.emplace(read_limits{.max_body_bytes = 64 << 20});
@@ -71,8 +73,8 @@
         std::size_t taken = 0;
         const read_state state = reader_->Feed(buffer_, &taken);
         buffer_.erase(0, taken);
-        if (reader_->has_head() && !head_told_) {
-          head_told_ = true;
+        if (reader_->has_head() && !head_reported_) {
+          head_reported_ = true;
           if (owner_.on_head) {
             owner_.on_head(*this);
           }
@@ -82,7 +84,7 @@
         }
         read_request request = reader_->Take();
         reader_.reset();
-        head_told_ = false;
+        head_reported_ = false;
         owner_.requests.push_back(request);
         if (owner_.on_request) {
           owner_.on_request(request, shared_from_this());
@@ -95,7 +97,7 @@
     std::array<char, 65536> chunk_{};
     std::string buffer_;
     std::optional<request_reader> reader_;
-    bool head_told_ = false;
+    bool head_reported_ = false;
   };
 
   using connection_ptr = std::shared_ptr<connection>;
@@ -111,8 +113,8 @@
     return {.ip = "127.0.0.1", .port = acceptor_.local_endpoint().port()};
   }
 
-  // Nobody listens any more, and all connections are reset.
-  void Die() {
+  // Stops listening and resets all connections.
+  void Crash() {
     boost::system::error_code ignored;
     acceptor_.close(ignored);
     for (const auto& weak : all_) {
@@ -122,7 +124,7 @@
     }
   }
 
-  // A whole answer in the platform's form.
+  // A complete response in the platform's format.
   static std::string Answer(const read_request& request,
                             const std::string& body,
                             int status = 200,
