--- a/tests/store_views_test.cc
+++ b/tests/store_views_test.cc
@@ -339,7 +339,7 @@
   following_.Start();
   ASSERT_TRUE(RunUntil([&] { return following_.state().revision == 1; }));
   EXPECT_FALSE(following_.state().lost_since.has_value());
-  store_.Die();
+  store_.Crash();
   ASSERT_TRUE(
       RunUntil([&] { return following_.state().lost_since.has_value(); }));
   // And that is no reason to doubt what it is told.
