--- a/include/admit/service_time.h
+++ b/include/admit/service_time.h
@@ -1,28 +1,28 @@
-// service_time: a running estimate of how long requests of one kind take.
+// service_time: a running estimate of the duration of requests of one kind.
 #pragma once
 
 #include "include/base/time.h"
 
 namespace pistachioweir {
 
-// Mean and mean deviation, weighted towards recent samples.
+// Exponentially weighted mean and mean deviation.
 class service_time {
  public:
   void Add(duration sample, time_point now);
 
-  // Zero as long as nothing has been measured. Halves for each while without
-  // samples: an estimate that is too long makes every deadline look
-  // infeasible, so that nothing runs and nothing corrects it.
+  // Zero until the first sample. Halves for each kHalvingPeriod without
+  // samples: an estimate that is too long makes every deadline look infeasible,
+  // so that nothing runs and nothing corrects it.
   [[nodiscard]] duration Mean(time_point now) const;
-  // A duration that most requests stay within.
-  [[nodiscard]] duration Likely(time_point now) const;
+  // Mean plus mean deviation; most requests stay within it.
+  [[nodiscard]] duration UpperEstimate(time_point now) const;
 
  private:
   [[nodiscard]] int Halvings(time_point now) const;
 
-  double mean_ = 0;       // Nanoseconds.
-  double deviation_ = 0;  // Nanoseconds.
-  time_point last_;       // Of the newest sample.
+  double mean_ = 0;         // Nanoseconds.
+  double deviation_ = 0;    // Nanoseconds.
+  time_point last_sample_;  // Of the newest sample.
   bool measured_ = false;
 };
 
--- a/include/route/kind_index.h
+++ b/include/route/kind_index.h
@@ -1,5 +1,5 @@
-// kind_index: small numbers for the kinds of work that one service does, so
-// that what is learnt of each can stand in an array.
+// kind_index: small indices for the kinds of requests of one service, so that
+// per-kind estimates fit in an array.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,19 @@
 
 namespace pistachioweir {
 
-// Operators rename and add routes while daemons run, so that the number of
-// names has no bound. Kinds beyond kMost share number 0, whose estimates are
-// then a mixture.
+// Operators rename and add routes while daemons run, so the number of names is
+// unbounded. Kinds beyond kMaxKinds share index 0, whose estimates are then a
+// mixture.
 class kind_index {
  public:
-  static constexpr std::uint32_t kMost = 64;
+  static constexpr std::uint32_t kMaxKinds = 64;
 
   [[nodiscard]] std::uint32_t IndexOf(std::string_view name) {
     const auto found = indices_.find(std::string(name));
     if (found != indices_.end()) {
       return found->second;
     }
-    if (indices_.size() + 1 >= kMost) {
+    if (indices_.size() + 1 >= kMaxKinds) {
       return 0;
     }
     const auto index = static_cast<std::uint32_t>(indices_.size()) + 1;
@@ -29,7 +29,7 @@
     return index;
   }
 
-  // Numbers that may have been given out are below this.
+  // Upper bound (exclusive) of the indices in use.
   [[nodiscard]] std::uint32_t size() const {
     return static_cast<std::uint32_t>(indices_.size()) + 1;
   }
--- a/src/forward/forward_daemon.h
+++ b/src/forward/forward_daemon.h
@@ -1,5 +1,5 @@
-// forward_daemon: a daemon between the protocols of one platform: its callers'
-// and its targets', and its store of what is in force.
+// forward_daemon: a daemon for one platform, composed of the platform's
+// protocols of callers and targets and the store of its configuration.
 #pragma once
 
 #include <algorithm>
@@ -29,7 +29,7 @@
 #include "include/forward/service_view.h"
 #include "include/forward/view_changes.h"
 #include "include/forward/view_state.h"
-#include "include/quarantine/suspect_spread.h"
+#include "include/quarantine/suspect_fanout.h"
 #include "src/base/stop_signals.h"
 #include "src/forward/caller_server.h"
 #include "src/forward/executor.h"
@@ -47,8 +47,8 @@
 
 namespace pistachioweir {
 
-// Where views come from. Calls the sink on the context's thread, first as soon
-// as a configuration is known, then at each change.
+// Source of views. Calls the sink on the context's thread, first when a
+// configuration is known, then at each change.
 template <typename Source>
 concept view_source = std::constructible_from<
     Source,
@@ -58,16 +58,16 @@
     requires(Source source) {
   source.Start();
   source.Stop();
-  // Called when more is known than before, with the daemon that told it.
+  // Called on newer data, with the daemon that sent it.
   source.OnNews(std::function<void(const std::string&)>());
   source.SetReading(store_reading::kNone);
   // Another daemon has read this revision.
   source.NoteRevision(std::uint64_t{});
   // The store answered another daemon.
   source.NoteStoreAnswer(time_point());
-  // A target isn't the one that the view has at its address.
+  // The target at an address isn't the one that the view lists there.
   source.NoteStaleTarget();
-  { source.Apply(view_changes{}) } -> std::same_as<told_changes_verdict>;
+  { source.Apply(view_changes{}) } -> std::same_as<changes_verdict>;
   {
     source.ChangesSince(std::uint64_t{})
     } -> std::same_as<std::optional<view_changes>>;
@@ -81,8 +81,8 @@
     target_protocol<typename Platform::targets> &&
     view_source<typename Platform::views>;
 
-// Owns all parts. They share one thread: a VM gives the daemon less than one
-// processor, and threads that take turns on it would only add hand-overs.
+// Owns all components. They share one thread: a VM gives the daemon less than
+// one processor, so more threads would only add context switches.
 template <forward_platform Platform>
 class forward_daemon {
  public:
@@ -111,8 +111,8 @@
                {.address = settings.peer,
                 .self = incarnation_,
                 .on_suspects =
-                    [this](const suspects_frame& told) {
-                      return executor_.ImportSuspects(told);
+                    [this](const suspects_frame& suspects) {
+                      return executor_.ImportSuspects(suspects);
                     },
                 .revision = [this] { return sharing_.revision(); },
                 .changes_since =
@@ -125,8 +125,8 @@
                     },
                 .proof = [this] { return sharing_.Proof(); },
                 .on_changes =
-                    [this](const view_changes& told) {
-                      sharing_.OnChanges(told);
+                    [this](const view_changes& changes) {
+                      sharing_.OnChanges(changes);
                     }},
                executor_),
         callers_(context_,
@@ -146,16 +146,17 @@
                   .own_target = settings.target,
                   .readers = settings.store_readers,
                   .max_key_age = MaxKeyAge(settings)},
-                 SharingParts()),
+                 SharingCallbacks()),
         quotas_(context_,
                 {.self = settings.target.ip, .overage = settings.quota_overage},
                 [this](const std::string& ip, const usage_frame& usage) {
                   origin_.SendUsage(ip, usage);
                 }),
-        suspects_(context_,
-                  [this](const suspects_frame& told, std::size_t most) {
-                    SendSuspects(told, most);
-                  }),
+        suspects_(
+            context_,
+            [this](const suspects_frame& suspects, std::size_t max_count) {
+              SendSuspects(suspects, max_count);
+            }),
         signals_(context_, SIGTERM, SIGINT, SIGHUP),
         tick_(context_),
         flush_(context_),
@@ -176,13 +177,13 @@
     AwaitSignal();
     ReleaseStopSignals();
     executor_.OnSuspects(
-        [this](const suspects_frame& told, suspects_source source) {
-          suspects_.Tell(told, source);
+        [this](const suspects_frame& suspects, suspects_source source) {
+          suspects_.Publish(suspects, source);
         });
     executor_.SetViewState([this] { return views_.state(); },
                            [this] { return sharing_.age(); },
                            [this] { return sharing_.store_answered_ago(); });
-    views_.OnNews([this](const std::string& from) { sharing_.OnNews(from); });
+    views_.OnNews([this](const std::string& from) { sharing_.OnUpdate(from); });
     Tick();
     views_.Start();
     sharing_.Start();
@@ -198,12 +199,12 @@
  private:
   using error_code = boost::system::error_code;
 
-  // Heads of answers; as much as servers commonly send.
+  // Limit of a response's head; the maximum that servers commonly send.
   static constexpr std::size_t kMaxResponseHead = 64 << 10;
-  // A quarter of the memory may be held for bodies of requests.
+  // Up to a quarter of the memory may hold request bodies.
   static constexpr double kHeldBytesPerMb = 256.0 * 1024;
   static constexpr milliseconds kTickInterval{1000};
-  // Log lines are written this long after the first, many at a time.
+  // Log lines are batched: flushed this long after the first.
   static constexpr milliseconds kFlushDelay{50};
   static constexpr milliseconds kStopPollInterval{25};
   origin_options OriginOptions(const forward_settings& settings) {
@@ -218,14 +219,14 @@
         .repeat_reserve = settings.repeat_reserve,
         .repeat_window = settings.repeat_window,
         .on_suspects =
-            [this](const suspects_frame& told) {
-              return executor_.ImportSuspects(told);
+            [this](const suspects_frame& suspects) {
+              return executor_.ImportSuspects(suspects);
             },
         .on_report =
             [this](const std::string& ip, const neighbour_report& report) {
               sharing_.OnReport(ip, report);
             },
-        .on_lost = [this](const std::string& ip) { sharing_.OnLost(ip); },
+        .on_peer_lost = [this](const std::string& ip) { sharing_.OnLost(ip); },
         .proven_age = [this] { return sharing_.proven_age(); },
         .max_key_age = MaxKeyAge(settings),
         .on_stale_target = [this] { views_.NoteStaleTarget(); },
@@ -235,25 +236,27 @@
               return sharing_.FrameSince(revision);
             },
         .on_changes =
-            [this](const view_changes& told) { sharing_.OnChanges(told); },
+            [this](const view_changes& changes) {
+              sharing_.OnChanges(changes);
+            },
         .on_proof = [this](const freshness_proof& proof,
                            boot_time asked) { sharing_.OnProof(proof, asked); },
         .admit = [this](organisation_id id) { return quotas_.Admit(id); },
-        .give_back = [this](organisation_id id) { quotas_.GiveBack(id); },
+        .refund_quota = [this](organisation_id id) { quotas_.Refund(id); },
         .on_quota =
             [this](const std::string& ip, const quota_frame& quota) {
               quotas_.OnQuota(ip, quota);
             }};
   }
 
-  // A request that is let in still takes a while until its target begins it.
+  // Leaves time between the admission of a request and its start at the target.
   static milliseconds MaxKeyAge(const forward_settings& settings) {
-    constexpr double kPartForEntrance = 0.8;
+    constexpr double kAdmissionShare = 0.8;
     return std::chrono::duration_cast<milliseconds>(settings.key_withdrawal *
-                                                    kPartForEntrance);
+                                                    kAdmissionShare);
   }
 
-  view_sharing_parts SharingParts() {
+  view_sharing_callbacks SharingCallbacks() {
     return {
         .state = [this] { return views_.state(); },
         .set_reading =
@@ -263,7 +266,9 @@
         .note_store_answer =
             [this](time_point at) { views_.NoteStoreAnswer(at); },
         .apply =
-            [this](const view_changes& told) { return views_.Apply(told); },
+            [this](const view_changes& changes) {
+              return views_.Apply(changes);
+            },
         .changes_since =
             [this](std::uint64_t revision) {
               return views_.ChangesSince(revision);
@@ -274,21 +279,22 @@
             },
         .ask = [this](const std::string& ip) { origin_.AskChanges(ip); },
         .ask_proofs =
-            [this](const std::vector<std::string>& ips, std::size_t others) {
-              origin_.AskProofs(ips, others);
+            [this](const std::vector<std::string>& ips,
+                   std::size_t additional) {
+              origin_.AskProofs(ips, additional);
             },
         .ask_connected =
             [this](std::uint64_t revision) { peers_.AskForChanges(revision); },
-        .tell_followers =
+        .notify_followers =
             [this](const std::string& except) { peers_.TellFollowers(except); },
         .heartbeat = [this] { peers_.Heartbeat(); }};
   }
 
-  // Of the ratio that the operator allows for repeats, what one service's
-  // callers use themselves. A repeat of a request that calls other services
-  // repeats those calls too, and they count there: with as many calls a request
-  // as the called service gets of it, each level adds its own part. Two levels
-  // and a reserve for daemons that restart and forget what they spent.
+  // Share of the operator's repeat ratio for the callers of one service. A
+  // repeated request repeats its downstream calls, which count at the called
+  // services: with as many calls per request as the called service receives for
+  // it, each level adds its own share. Covers two levels, and a reserve for
+  // daemons that lose their counts at a restart.
   static constexpr double kRatioShare = 0.4;
 
   http_server_options ReadyOptions() {
@@ -325,14 +331,14 @@
             .store_calls = views_.calls(),
             .removals_delayed = views_.removals_delayed(),
             .followers = peers_.followers(),
-            .telling = peers_.counters(),
+            .publishing = peers_.counters(),
             .sharing = sharing_.counters(),
             .proven_age = sharing_.proven_age()};
   }
 
   [[nodiscard]] quota_page PageQuotas() const {
-    quota_page page{.in_touch =
-                        quotas_.state().InTouch(monotonic_clock::now())};
+    quota_page page{
+        .in_touch = quotas_.state().ReachableDaemons(monotonic_clock::now())};
     for (const auto& each : quotas_.state().Refused()) {
       page.refused.push_back({.organisation = std::string(each.name),
                               .admitted = each.admitted,
@@ -352,7 +358,7 @@
     if (view->config != nullptr) {
       callers_.SetLimits(view->config->limits);
     }
-    std::optional<std::string> own;  // Empty if it is leaving.
+    std::optional<std::string> own;  // Empty if the target is leaving.
     for (const target_entry& target : view->targets) {
       if (target.address == settings_.target) {
         executor_.SetSlots(target.slots);
@@ -397,7 +403,7 @@
           .value = std::to_string(callers_.state().open_requests)},
          {.name = "runs", .value = std::to_string(executor_.in_progress())}});
     executor_.Leave();
-    origin_.SetEnd(stop_plan_.answer_by());
+    origin_.SetAnswerBy(stop_plan_.answer_by());
     peers_.Drain();
     callers_.Drain();
     PollStop();
@@ -410,20 +416,21 @@
         .calls_read = peers_.calls_read(),
         .open_requests = callers_.state().open_requests,
         .runs = executor_.in_progress(),
-        .longest = std::max(origin_.Longest(now) + callers_.LongestWrite(now),
-                            executor_.Longest(now))};
+        .max_request_time =
+            std::max(origin_.MaxRequestTime(now) + callers_.MaxWriteTime(now),
+                     executor_.MaxRequestTime(now))};
     if (stop_plan_.IsOver(progress, now)) {
       Stop();
       return;
     }
     if (now >= stop_plan_.answer_by()) {
-      EndOpen();
+      EndOpenCalls();
     }
-    if (!stop_plan_.IsOpen(now) && !std::exchange(closing_, true)) {
+    if (!stop_plan_.AcceptsConnections(now) && !std::exchange(closing_, true)) {
       LogClosing(progress);
       callers_.StopListening();
     }
-    if (!stop_plan_.TakesNew(now) && !std::exchange(refusing_, true)) {
+    if (!stop_plan_.AcceptsRequests(now) && !std::exchange(refusing_, true)) {
       executor_.Drain();
       callers_.RefuseNew();
     }
@@ -435,25 +442,26 @@
     });
   }
 
-  // First what is at the target beside, so that its callers here hear which of
-  // it has not run.
-  void EndOpen() {
+  // Ends the local target's runs first, so that local callers learn which of
+  // them were not executed.
+  void EndOpenCalls() {
     if (!std::exchange(ending_, true)) {
       callers_.RefuseNew();
-      executor_.EndOpen();
+      executor_.EndOpenRuns();
     } else {
-      origin_.EndOpen();
+      origin_.EndOpenCalls();
     }
   }
 
   void LogClosing(const stop_progress& progress) {
-    const auto longest =
-        std::chrono::duration_cast<milliseconds>(progress.longest);
+    const auto max_request_time =
+        std::chrono::duration_cast<milliseconds>(progress.max_request_time);
     LogEvent(
         "closing",
         {{.name = "requests", .value = std::to_string(progress.open_requests)},
          {.name = "runs", .value = std::to_string(progress.runs)},
-         {.name = "longest_ms", .value = std::to_string(longest.count())}});
+         {.name = "longest_ms",
+          .value = std::to_string(max_request_time.count())}});
   }
 
   void LogEnding() {
@@ -468,8 +476,7 @@
           .value = std::to_string(executor_.counters().ended_by_stop)}});
   }
 
-  // Whatever still comes is refused: it would be cut off when the process ends,
-  // a moment later.
+  // Refuses further requests, which the imminent exit would interrupt.
   void Stop() {
     LogEnding();
     executor_.Drain();
@@ -479,24 +486,25 @@
     sharing_.Stop();
     quotas_.Stop();
     suspects_.Stop();
-    // Answers that were handed to the kernel go out; give the last ones a turn.
+    // The kernel sends the answers already handed to it; this delay lets the
+    // last ones reach it.
     stop_.expires_after(kStopPollInterval);
     stop_.async_wait([this](error_code) { stopped_.set_value(); });
   }
 
-  // Each daemon once, over whichever way it is connected.
-  void SendSuspects(const suspects_frame& told, std::size_t most) {
+  // Sends to each daemon once, over its link or its session.
+  void SendSuspects(const suspects_frame& suspects, std::size_t max_count) {
     std::set<incarnation_id> connected = origin_.linked();
     connected.merge(peers_.senders());
-    const std::vector<incarnation_id> some = SomeAtRandom(
-        std::vector<incarnation_id>(connected.begin(), connected.end()), most,
-        RandomBits64);
-    std::set<incarnation_id> to(some.begin(), some.end());
-    const auto frame = std::make_shared<const std::string>(Encode(told));
+    const std::vector<incarnation_id> chosen = RandomSample(
+        std::vector<incarnation_id>(connected.begin(), connected.end()),
+        max_count, RandomBits64);
+    std::set<incarnation_id> to(chosen.begin(), chosen.end());
+    const auto frame = std::make_shared<const std::string>(Encode(suspects));
     origin_.SendSuspects(frame, &to);
     peers_.SendSuspects(frame, to);
-    if (!told.entries.empty()) {
-      origin_.TellFurtherDaemons();
+    if (!suspects.entries.empty()) {
+      origin_.PushSuspectsToUnlinked();
     }
   }
 
@@ -516,7 +524,7 @@
     const time_point now = monotonic_clock::now();
     lag_ = std::max(duration(0), now - next_tick_);
     const process_load load = LoadNow(lag_);
-    if (IsStrained(load)) {
+    if (ExceedsThresholds(load)) {
       LogProcessLoad(load);
     }
     origin_.Tick(now);
@@ -532,7 +540,7 @@
     });
   }
 
-  // On any thread.
+  // Called on any thread.
   void ArmFlush() {
     boost::asio::post(context_, [this] {
       flush_.expires_after(kFlushDelay);
@@ -563,13 +571,13 @@
   boost::asio::signal_set signals_;
   boost::asio::steady_timer tick_;
   time_point next_tick_ = time_point::max();  // When `tick_` expires.
-  duration lag_{0};                           // Of the last tick, behind that.
+  duration lag_{0};                           // Delay of the last tick.
   boost::asio::steady_timer flush_;
   boost::asio::steady_timer stop_;
   stop_plan stop_plan_;
-  bool closing_ = false;   // Stopping, and close to the end.
-  bool refusing_ = false;  // And too close for another request.
-  bool ending_ = false;    // What is still in progress gets its answer.
+  bool closing_ = false;   // Refuses new connections.
+  bool refusing_ = false;  // Refuses new requests.
+  bool ending_ = false;    // Is answering open requests.
   bool ready_ = false;
   std::promise<void> stopped_;
   http_server ready_server_;
--- a/src/forward/origin.cc
+++ b/src/forward/origin.cc
@@ -1,4 +1,4 @@
-// Routing, placing, sending and retrying of callers' requests.
+// Routing, placement, sending and retries of callers' requests.
 #include "src/forward/origin.h"
 
 #include <utility>
@@ -19,9 +19,9 @@
 namespace pistachioweir {
 namespace {
 
-// A caller that doesn't say how long it waits, on a route without a timeout.
+// Used if neither the caller nor the route sets a timeout.
 constexpr milliseconds kDefaultTimeout{30000};
-// When to come back if nothing tells better.
+// Retry-after if the refusal carries none.
 constexpr milliseconds kDefaultRetryAfter{200};
 
 std::string Text(std::uint64_t number) {
@@ -44,8 +44,8 @@
                                                : call_result::kFailed;
 }
 
-// No daemon could be reached, or the one that was has no target beside it.
-bool NobodyThere(const peer_answer& answer) {
+// The daemon was unreachable, or has no local target.
+bool IsTargetAbsent(const peer_answer& answer) {
   return answer.answer.kind == outcome_kind::kNotExecuted &&
          !answer.answer.reached_target &&
          (!answer.heard || answer.answer.why == reason::kNotReady);
@@ -84,21 +84,21 @@
   return true;
 }
 
-// The shorter of what the caller and the route say.
+// The shorter of the caller's and the route's timeouts.
 milliseconds origin::TimeoutOf(const placed_call& call) const {
   milliseconds timeout = call.call.caller_timeout;
-  const milliseconds longest = call.matched->timeout;
+  const milliseconds max_timeout = call.matched->timeout;
   if (timeout == milliseconds(0) ||
-      (longest > milliseconds(0) && longest < timeout)) {
-    timeout = longest;
+      (max_timeout > milliseconds(0) && max_timeout < timeout)) {
+    timeout = max_timeout;
   }
   return timeout == milliseconds(0) ? kDefaultTimeout : timeout;
 }
 
 void origin::StartTimer(call_id id) {
   placed_call& call = *calls_.at(id);
-  call.timer.expires_at(call.deadline);
-  call.timer.async_wait([this, id](boost::system::error_code error) {
+  call.deadline_timer.expires_at(call.deadline);
+  call.deadline_timer.async_wait([this, id](boost::system::error_code error) {
     if (!error) {
       OnTimeout(id);
     }
@@ -122,10 +122,10 @@
                 .retry_after = kDefaultRetryAfter});
     return id;
   }
-  if (!Identify(id)) {
+  if (!Authenticate(id)) {
     return id;
   }
-  if (!Charge(id)) {
+  if (!ChargeQuota(id)) {
     return id;
   }
   if (view_->config->organisations == nullptr) {
@@ -140,13 +140,14 @@
 
   const milliseconds timeout = TimeoutOf(*placed);
   placed->deadline = placed->call.received + timeout;
-  placed->placing = {.method = state.kinds.IndexOf(matched.name),
-                     .level = PriorityOfRank(placed->rank),
-                     .ticket = static_cast<std::uint8_t>(RandomBits32()),
-                     .objective = matched.latency_objective > milliseconds(0)
-                                      ? matched.latency_objective
-                                      : timeout,
-                     .once = matched.repeats == repeat_policy::kAtMostOnce};
+  placed->placing = {
+      .method = state.kinds.IndexOf(matched.name),
+      .level = PriorityOfRank(placed->rank),
+      .ticket = static_cast<std::uint8_t>(RandomBits32()),
+      .objective = matched.latency_objective > milliseconds(0)
+                       ? matched.latency_objective
+                       : timeout,
+      .at_most_once = matched.repeats == repeat_policy::kAtMostOnce};
   log_.Add(id, name, "routed",
            {{.name = "route", .value = matched.name},
             {.name = "service", .value = placed->service},
@@ -163,28 +164,28 @@
     return id;
   }
   StartTimer(id);
-  Try(id);
+  PlaceAndSend(id);
   return id;
 }
 
-bool origin::IsHopeless(const placed_call& call, time_point now) {
+bool origin::CannotMeetDeadline(const placed_call& call, time_point now) {
   return StateOf(call.service)
-      .hopeless.IsHopeless(call.placing.method,
-                           std::min(call.deadline, answer_by_) - now, now);
+      .feasibility.IsInfeasible(call.placing.method,
+                                std::min(call.deadline, answer_by_) - now, now);
 }
 
-// A key may have been withdrawn while its request waited.
-void origin::TryAgain(call_id id) {
-  if (Identify(id)) {
-    Try(id);
+// Checks the key again: it may have been withdrawn while the request waited.
+void origin::Retry(call_id id) {
+  if (Authenticate(id)) {
+    PlaceAndSend(id);
   }
 }
 
-void origin::Try(call_id id) {
+void origin::PlaceAndSend(call_id id) {
   const call_ptr call = calls_.at(id);
   service_state& state = StateOf(call->service);
   const time_point now = monotonic_clock::now();
-  if (IsHopeless(*call, now)) {
+  if (CannotMeetDeadline(*call, now)) {
     call->why = reason::kDeadlinePassed;
     log_.Add(
         id, call->call.id, "not_placed",
@@ -203,7 +204,7 @@
         id, call->call.id, "not_placed",
         {{.name = "why", .value = std::string(kReasonNames.Name(placed.why))},
          {.name = "usable", .value = Text(state.targets.usable(now))}});
-    FinishOrLookAgain(id);
+    FinishOrRetryLater(id);
     return;
   }
   call->target = placed.target;
@@ -211,7 +212,7 @@
   call->placing.tried.refs[call->placing.tried.count++] = placed.target;
   const target_entry* const target = FindTarget(call->target_id);
   if (target == nullptr) {
-    // The list that the balancer has is the view's, so this can't be.
+    // Not expected: the balancer's targets are those of the view.
     LogWarning("target_unknown", {{.name = "id", .value = call->target_id}});
     call->why = reason::kNoTarget;
     FinishWithoutAnswer(id);
@@ -222,7 +223,7 @@
 
 milliseconds origin::StartWithin(const placed_call& call,
                                  time_point now) const {
-  constexpr milliseconds kLeast{1};  // Zero would bound nothing.
+  constexpr milliseconds kMinimum{1};  // Zero means no bound.
   std::optional<milliseconds> within;
   if (!call.organisation.empty() && options_.max_key_age > milliseconds(0)) {
     const auto age = options_.proven_age();
@@ -232,7 +233,7 @@
     const milliseconds left = TimeLeft(answer_by_, now);
     within = std::min(within.value_or(left), left);
   }
-  return within ? std::max(kLeast, *within) : milliseconds(0);
+  return within ? std::max(kMinimum, *within) : milliseconds(0);
 }
 
 call_frame origin::FrameOf(const placed_call& call,
@@ -275,7 +276,7 @@
     call->number = 0;
     const std::uint64_t number = local_.Serve(
         std::move(frame), [this, id, generation](answer_frame answer) {
-          // Later: the executor may answer before Serve() returns.
+          // Posted, since the executor may answer before Serve() returns.
           boost::asio::post(context_, [this, id, generation,
                                        answer = std::move(answer)]() mutable {
             OnAnswer(id, generation,
@@ -292,9 +293,9 @@
                                   });
 }
 
-void origin::NoteAnswer(placed_call& call,
-                        const peer_answer& answer,
-                        time_point now) {
+void origin::RecordAnswer(placed_call& call,
+                          const peer_answer& answer,
+                          time_point now) {
   StateOf(call.service)
       .targets.Finish(call.target, call.placing.method, ResultOf(answer),
                       answer.answer.served,
@@ -302,32 +303,33 @@
   if (answer.answer.kind == outcome_kind::kCompleted &&
       !IsServerError(answer.answer.response.status)) {
     StateOf(call.service)
-        .hopeless.OnServed(call.placing.method, answer.answer.served, now);
+        .feasibility.OnCompleted(call.placing.method, answer.answer.served,
+                                 now);
   }
   if (answer.answer.by_targets) {
-    call.by_target = true;
-    local_.NoteDownstream(call.service,
-                          StateOf(call.service).targets.Pressure(now), now);
+    call.from_own_target = true;
+    local_.UpdateDownstreamPressure(
+        call.service, StateOf(call.service).targets.Pressure(now), now);
   }
   if (answer.answer.why == reason::kDraining) {
     StateOf(call.service).targets.SetStopping(call.target, true);
   }
   if (answer.answer.why == reason::kWrongTarget) {
-    // The target that was meant has ended; the list will say so in a while.
+    // The intended target has ended; the list of targets will follow later.
     StateOf(call.service).targets.MarkLeaving(call.target);
     if (options_.on_stale_target) {
       options_.on_stale_target();
     }
   }
   if (answer.heard) {
-    call.needed += answer.answer.queued + answer.answer.served;
+    call.processing_time += answer.answer.queued + answer.answer.served;
   }
-  if (NobodyThere(answer)) {
-    ++call.placing.tried.gone;
+  if (IsTargetAbsent(answer)) {
+    ++call.placing.tried.unavailable;
   }
   if (answer.answer.reached_target ||
       answer.answer.kind == outcome_kind::kUnknown) {
-    ++call.reached;
+    ++call.targets_reached;
   }
   if (answer.answer.kind == outcome_kind::kUnknown) {
     call.may_have_run = true;
@@ -348,80 +350,80 @@
   const call_ptr call = found->second;
   const time_point now = monotonic_clock::now();
   call->sending = false;
-  NoteAnswer(*call, answer, now);
-  answer_frame& told = answer.answer;
+  RecordAnswer(*call, answer, now);
+  answer_frame& frame = answer.answer;
   log_.Add(
       id, call->call.id, "answer",
       {{.name = "target", .value = call->target_id},
        {.name = "outcome",
-        .value = std::string(kOutcomeKindNames.Name(told.kind))},
-       {.name = "why", .value = std::string(kReasonNames.Name(told.why))},
-       {.name = "status", .value = std::to_string(told.response.status)},
+        .value = std::string(kOutcomeKindNames.Name(frame.kind))},
+       {.name = "why", .value = std::string(kReasonNames.Name(frame.why))},
+       {.name = "status", .value = std::to_string(frame.response.status)},
        {.name = "heard", .value = answer.heard ? "yes" : "no"},
        {.name = "took_us",
         .value = std::to_string(
             std::chrono::duration_cast<microseconds>(now - call->sent_at)
                 .count())},
-       {.name = "queued_us", .value = std::to_string(told.queued.count())},
-       {.name = "served_us", .value = std::to_string(told.served.count())}});
-  if (MayTryAgain(*call, told, now)) {
-    if (told.kind == outcome_kind::kCompleted) {
+       {.name = "queued_us", .value = std::to_string(frame.queued.count())},
+       {.name = "served_us", .value = std::to_string(frame.served.count())}});
+  if (MayRetry(*call, frame, now)) {
+    if (frame.kind == outcome_kind::kCompleted) {
       call->may_have_run = true;
       call->has_failure = true;
-      call->failure = std::move(told.response);
+      call->failure = std::move(frame.response);
     }
     ++counters_.sent_again;
-    TryAgain(id);
+    Retry(id);
     return;
   }
-  if (told.kind == outcome_kind::kCompleted) {
+  if (frame.kind == outcome_kind::kCompleted) {
     local_.NoteCompleted(call->matched->name, call->call.request, call->call.id,
                          now);
     Finish(id, {.kind = outcome_kind::kCompleted,
-                .response = std::move(told.response)});
+                .response = std::move(frame.response)});
     return;
   }
-  FinishOrLookAgain(id);
+  FinishOrRetryLater(id);
 }
 
-void origin::FinishOrLookAgain(call_id id) {
+void origin::FinishOrRetryLater(call_id id) {
   const placed_call& call = *calls_.at(id);
-  const bool nothing_sent = call.reached == 0 && !call.may_have_run;
-  const auto pause = nothing_sent
-                         ? NextLook({.received = call.call.received,
-                                     .deadline = call.deadline,
-                                     .objective = call.placing.objective,
-                                     .why = call.why},
-                                    monotonic_clock::now())
+  const bool nothing_sent = call.targets_reached == 0 && !call.may_have_run;
+  const auto delay = nothing_sent
+                         ? NextLookupDelay({.received = call.call.received,
+                                            .deadline = call.deadline,
+                                            .objective = call.placing.objective,
+                                            .why = call.why},
+                                           monotonic_clock::now())
                          : std::nullopt;
-  if (pause) {
-    LookAgainIn(id, *pause);
+  if (delay) {
+    RetryLater(id, *delay);
   } else {
     FinishWithoutAnswer(id);
   }
 }
 
-void origin::LookAgainIn(call_id id, milliseconds pause) {
+void origin::RetryLater(call_id id, milliseconds delay) {
   placed_call& call = *calls_.at(id);
   log_.Add(id, call.call.id, "looks_again",
            {{.name = "why", .value = std::string(kReasonNames.Name(call.why))},
-            {.name = "in_ms", .value = std::to_string(pause.count())}});
+            {.name = "in_ms", .value = std::to_string(delay.count())}});
   call.placing.tried = {};
-  call.pause.expires_after(pause);
-  call.pause.async_wait([this, id](boost::system::error_code error) {
-    // The caller may have left just as the pause ended.
+  call.retry_timer.expires_after(delay);
+  call.retry_timer.async_wait([this, id](boost::system::error_code error) {
+    // The call may have ended after the timer expired.
     if (!error && calls_.contains(id)) {
-      TryAgain(id);
+      Retry(id);
     }
   });
 }
 
-// Another target is asked for a request that has not run, and for one that may
-// run again if it failed. Sends that reach targets are paid from the budget:
-// the second send of a request is load that its caller didn't bring.
-bool origin::MayTryAgain(placed_call& call,
-                         const answer_frame& answer,
-                         time_point now) {
+// A request is retried on another target if it has not run, or if it failed and
+// may run again. Retries after a send that reached a target are charged to the
+// retry budget, since they add load beyond the callers' own.
+bool origin::MayRetry(placed_call& call,
+                      const answer_frame& answer,
+                      time_point now) {
   const bool completed = answer.kind == outcome_kind::kCompleted;
   if (completed &&
       (!IsServerError(answer.response.status) || answer.failed_below ||
@@ -431,15 +433,15 @@
   const bool may_run =
       !call.may_have_run || call.matched->repeats == repeat_policy::kIdempotent;
   service_state& state = StateOf(call.service);
-  if (!may_run || now >= call.deadline || IsHopeless(call, now) ||
+  if (!may_run || now >= call.deadline || CannotMeetDeadline(call, now) ||
       answer.why == reason::kCancelled ||
       !state.targets.MayTryElsewhere(call.placing, now)) {
     return false;
   }
-  if (call.reached == 0) {
+  if (call.targets_reached == 0) {
     return true;
   }
-  return call.reached < call.matched->max_targets &&
+  return call.targets_reached < call.matched->max_targets &&
          state.repeats.TrySpend(now);
 }
 
@@ -454,7 +456,7 @@
             {.name = "target", .value = call->target_id}});
   if (call->sending) {
     const time_point now = monotonic_clock::now();
-    NoteWait(*call, now);
+    RecordWait(*call, now);
     CancelSend(*call);
     call->may_have_run = true;
     StateOf(call->service)
@@ -466,9 +468,9 @@
   FinishWithoutAnswer(id);
 }
 
-void origin::NoteWait(placed_call& call, time_point now) {
+void origin::RecordWait(placed_call& call, time_point now) {
   if (call.link == nullptr || call.link->IsWell(now)) {
-    call.needed += now - call.sent_at;
+    call.processing_time += now - call.sent_at;
   }
 }
 
@@ -493,13 +495,13 @@
            {{.name = "target", .value = call->target_id}});
   const time_point now = monotonic_clock::now();
   if (call->sending) {
-    NoteWait(*call, now);
+    RecordWait(*call, now);
     CancelSend(*call);
     StateOf(call->service)
         .targets.Finish(call->target, call->placing.method,
                         call_result::kCancelled, duration(0), nullptr, now);
   }
-  longest_.Add(call->needed, now);
+  max_request_time_.Add(call->processing_time, now);
   log_.End(id, call->call.id, true);
   calls_.erase(found);
 }
@@ -508,7 +510,7 @@
   Finish(id, Failure(*calls_.at(id)));
 }
 
-// Not executed only if that holds for each send.
+// Reports not executed only if no send may have run.
 relayed_result origin::Failure(const placed_call& call) const {
   if (call.has_failure) {
     return {.kind = outcome_kind::kCompleted, .response = call.failure};
@@ -527,17 +529,17 @@
   const auto found = calls_.find(id);
   const call_ptr call = found->second;
   calls_.erase(found);
-  call->timer.cancel();
-  call->pause.cancel();
+  call->deadline_timer.cancel();
+  call->retry_timer.cancel();
   const time_point now = monotonic_clock::now();
-  longest_.Add(call->needed, now);
+  max_request_time_.Add(call->processing_time, now);
   if (call->charged && result.kind == outcome_kind::kNotExecuted) {
-    options_.give_back(*call->charged);
+    options_.refund_quota(*call->charged);
   }
-  if (call->by_target) {
-    local_.NoteCallOfTarget(result.kind != outcome_kind::kCompleted ||
-                                IsServerError(result.response.status),
-                            now);
+  if (call->from_own_target) {
+    local_.OnTargetCallEnd(result.kind != outcome_kind::kCompleted ||
+                               IsServerError(result.response.status),
+                           now);
   }
   ++(result.kind == outcome_kind::kCompleted     ? counters_.completed
      : result.kind == outcome_kind::kNotExecuted ? counters_.not_executed
--- a/src/forward/origin_keys.cc
+++ b/src/forward/origin_keys.cc
@@ -1,4 +1,4 @@
-// Whose requests the origin takes: their API keys and quotas.
+// Authentication and quotas of the origin's calls.
 #include <optional>
 #include <string>
 
@@ -8,8 +8,8 @@
 namespace pistachioweir {
 namespace {
 
-// When to come back if the configuration is too old to judge keys by: a newer
-// one is asked for several times in it.
+// Retry-after if the configuration is too old to check keys by. Long enough for
+// several requests for a newer one.
 constexpr milliseconds kUnconfirmedRetryAfter{500};
 
 reason RefusalOf(key_verdict verdict) {
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-key_answer origin::CheckKeyOf(const placed_call& call) const {
+key_check_result origin::CheckKeyOf(const placed_call& call) const {
   return CheckKey(
       {.organisations = view_->config->organisations.get(),
        .is_public = call.matched->is_public,
@@ -34,14 +34,14 @@
        .max_age = options_.max_key_age});
 }
 
-bool origin::Identify(call_id id) {
+bool origin::Authenticate(call_id id) {
   placed_call& call = *calls_.at(id);
-  const key_answer key = CheckKeyOf(call);
+  const key_check_result key = CheckKeyOf(call);
   const reason refusal = RefusalOf(key.verdict);
   if (refusal == reason::kNone) {
     const precedence& ranks = view_->config->ranks;
     call.rank = ranks.RankOf(key.holder, *call.matched);
-    call.ahead = ranks.IsAhead(key.holder);
+    call.ahead = ranks.TakesPrecedence(key.holder);
     call.organisation = key.holder != nullptr ? key.holder->name : "";
     call.holder =
         key.holder != nullptr ? std::optional(key.holder->id) : std::nullopt;
@@ -72,7 +72,7 @@
   counters_.over_quota += why == reason::kOverQuota ? 1U : 0U;
 }
 
-bool origin::Charge(call_id id) {
+bool origin::ChargeQuota(call_id id) {
   placed_call& call = *calls_.at(id);
   if (!call.holder || !options_.admit) {
     return true;
--- a/src/forward/origin_links.cc
+++ b/src/forward/origin_links.cc
@@ -1,5 +1,4 @@
-// Connections of the origin to the daemons beside targets, and what it hears of
-// them there.
+// The origin's links to the daemons of targets, and the events received there.
 #include <algorithm>
 #include <memory>
 #include <set>
@@ -10,18 +9,18 @@
 
 #include "include/base/log.h"
 #include "include/base/random_bits.h"
-#include "include/quarantine/suspect_spread.h"
+#include "include/quarantine/suspect_fanout.h"
 #include "src/forward/executor.h"
 #include "src/forward/origin.h"
 
 namespace pistachioweir {
 namespace {
 
-// A link that nothing was sent over for this long is closed.
+// A link that carried calls is closed after this long without use.
 constexpr milliseconds kLinkIdle{60000};
-// One that was made to tell something is closed this long after: it has been
-// told, and the peer has answered what it knows better.
-constexpr milliseconds kToldIdle{3000};
+// A link opened only for gossip is closed after this long: its frames have been
+// sent, and the peer has answered with newer state.
+constexpr milliseconds kGossipLinkIdle{3000};
 
 }  // namespace
 
@@ -47,8 +46,8 @@
                      {{.name = "peer", .value = ip},
                       {.name = "reachable", .value = reachable ? "yes" : "no"},
                       {.name = "why", .value = std::string(why)}});
-            if (!reachable && options_.on_lost) {
-              options_.on_lost(ip);
+            if (!reachable && options_.on_peer_lost) {
+              options_.on_peer_lost(ip);
             }
             ForTargetsAt(ip, [reachable](balancer& targets, target_ref target) {
               targets.SetReachable(target, reachable);
@@ -56,8 +55,8 @@
           },
       .on_leaving =
           [this, ip](bool leaving) {
-            if (leaving && options_.on_lost) {
-              options_.on_lost(ip);
+            if (leaving && options_.on_peer_lost) {
+              options_.on_peer_lost(ip);
             }
             ForTargetsAt(ip, [leaving](balancer& targets, target_ref target) {
               targets.SetStopping(target, leaving);
@@ -67,7 +66,7 @@
           [this, ip](const load_report& load) {
             const time_point now = monotonic_clock::now();
             ForTargetsAt(ip, [&](balancer& targets, target_ref target) {
-              targets.NoteLoad(target, load, now);
+              targets.UpdateLoad(target, load, now);
             });
           },
       .on_report =
@@ -142,9 +141,9 @@
   return linked;
 }
 
-// A link tells what is known as soon as it is there.
-void origin::TellFurtherDaemons() {
-  for (const std::string& ip : FurtherDaemons(Unlinked(), RandomBits64)) {
+// A link sends all known suspects as soon as it is established.
+void origin::PushSuspectsToUnlinked() {
+  for (const std::string& ip : ChooseUnconnected(Unlinked(), RandomBits64)) {
     LinkTo(ip)->Probe();
   }
 }
@@ -172,25 +171,25 @@
 }
 
 void origin::AskProofs(const std::vector<std::string>& ips,
-                       std::size_t others) {
+                       std::size_t additional) {
   for (const std::string& ip : ips) {
     const auto found = links_.find(ip);
     if (found != links_.end()) {
       found->second->AskProof();
     }
   }
-  const std::size_t count = std::min(others, links_.size());
+  const std::size_t count = std::min(additional, links_.size());
   for (std::size_t i = 0; i < count; ++i) {
-    auto next = links_.upper_bound(last_proof_asked_);
+    auto next = links_.upper_bound(last_proof_peer_);
     if (next == links_.end()) {
       next = links_.begin();
     }
-    last_proof_asked_ = next->first;
+    last_proof_peer_ = next->first;
     next->second->AskProof();
   }
 }
 
-// Where daemons are that this one has no link to.
+// IP addresses of daemons without a link.
 std::vector<std::string> origin::Unlinked() const {
   std::set<std::string> ips;
   if (view_ != nullptr) {
@@ -216,38 +215,38 @@
   ShareReserve(now);
   lapsed_.Expire(now);
   KeepLapsed(now);
-  for (auto place = links_.begin(); place != links_.end();) {
+  for (auto it = links_.begin(); it != links_.end();) {
     const milliseconds idle =
-        place->second->carries_calls() ? kLinkIdle : kToldIdle;
-    // A link that is out of reach is the only one to find out when that ends:
-    // its targets get no calls, so that nothing else would ask. Closed, it left
-    // a target unused for good that was well again after a minute.
+        it->second->carries_calls() ? kLinkIdle : kGossipLinkIdle;
+    // Unreachable links stay open: only they can detect recovery, since their
+    // targets get no calls. Closing one left a target unused forever although
+    // it had recovered after a minute.
     const bool unused =
-        place->second->reachable() && place->second->outstanding() == 0 &&
-        !place->second->follows() && now - place->second->last_used() > idle;
-    place->second->SendMissedSuspects();
+        it->second->reachable() && it->second->outstanding() == 0 &&
+        !it->second->follows() && now - it->second->last_used() > idle;
+    it->second->SendMissedSuspects();
     if (unused) {
-      place->second->Close();
-      place = links_.erase(place);
+      it->second->Close();
+      it = links_.erase(it);
     } else {
-      ++place;
+      ++it;
     }
   }
 }
 
-// Links to machines that no target lives on any more.
+// Closes links to hosts that no longer have a target.
 void origin::CloseUnusedLinks() {
   std::set<std::string> ips;
   for (const target_entry& target : view_->targets) {
     ips.insert(target.address.ip);
   }
-  for (auto place = links_.begin(); place != links_.end();) {
-    if (!ips.contains(place->first) && place->second->outstanding() == 0 &&
-        !place->second->follows()) {
-      place->second->Close();
-      place = links_.erase(place);
+  for (auto it = links_.begin(); it != links_.end();) {
+    if (!ips.contains(it->first) && it->second->outstanding() == 0 &&
+        !it->second->follows()) {
+      it->second->Close();
+      it = links_.erase(it);
     } else {
-      ++place;
+      ++it;
     }
   }
 }
--- a/src/forward/origin_views.cc
+++ b/src/forward/origin_views.cc
@@ -1,5 +1,6 @@
-// What the origin believes of the services around it: the view in use, with
-// targets that the store has lost, and what is kept for each service.
+// The origin's view of the services around it: the view in use, including
+// targets whose entries have expired in the store, and the state of each
+// service.
 #include <algorithm>
 #include <map>
 #include <memory>
@@ -15,10 +16,11 @@
 namespace pistachioweir {
 namespace {
 
-// Sends of one call, those that are refused before they reach a target
-// included. A refusal by the daemon beside a target costs the target nothing,
-// but each takes a round trip and most of a busy service's targets are equally
-// full. Sends that find nobody say nothing of the others, and don't count.
+// Maximum sends of one call, including those that are refused before they reach
+// a target. A refusal by the daemon beside a target costs the target nothing,
+// but each takes a round trip, and most targets of a busy service are equally
+// loaded. Sends that reach no daemon say nothing about the other targets and
+// don't count.
 constexpr std::uint32_t kMaxSends = 4;
 
 }  // namespace
@@ -55,7 +57,7 @@
          .warm_up_left = target.warm_up_left,
          .slots = target.slots});
   }
-  reserve_share_.NoteDaemons(ips.size(), now);
+  reserve_share_.OnDaemonCount(ips.size(), now);
   ShareReserve(now);
   for (auto& [service, state] : services_) {
     by_service.try_emplace(service);
@@ -75,7 +77,7 @@
       .try_emplace(service,
                    balancer_options{.data_centre = options_.data_centre,
                                     .policy = placement_policy::kExpectedEnd,
-                                    .methods = kind_index::kMost,
+                                    .methods = kind_index::kMaxKinds,
                                     .max_tries = kMaxSends},
                    RepeatOptions(monotonic_clock::now()))
       .first->second;
@@ -84,10 +86,11 @@
 repeat_budget_options origin::RepeatOptions(time_point now) {
   return {.window = options_.repeat_window,
           .ratio = options_.repeat_ratio,
-          .reserve = options_.repeat_reserve * reserve_share_.Part(now)};
+          .reserve = options_.repeat_reserve * reserve_share_.Fraction(now)};
 }
 
-// The part changes with the list of daemons, and with time after that.
+// The share changes with the list of daemons, and over time after such a
+// change.
 void origin::ShareReserve(time_point now) {
   const repeat_budget_options repeating = RepeatOptions(now);
   for (auto& [service, state] : services_) {
@@ -101,8 +104,8 @@
                                        : &view_->targets[found->second];
 }
 
-// Targets that the store has lost come into use, or end it, as daemons vouch
-// for them and cease to.
+// Starts or stops using targets whose entries have expired, as daemons vouch
+// for them or no longer do.
 void origin::KeepLapsed(time_point now) {
   std::vector<target_entry> kept = lapsed_.Kept(now);
   if (kept != kept_) {
@@ -123,10 +126,11 @@
   }
   for (const target_entry& target : before) {
     if (std::ranges::find(kept_, target) == kept_.end()) {
-      LogEvent("target_not_kept",
-               {{.name = "start", .value = StartName(target)},
-                {.name = "why",
-                 .value = "listed again, or its daemon vouches no more"}});
+      LogEvent(
+          "target_not_kept",
+          {{.name = "start", .value = StartName(target)},
+           {.name = "why",
+            .value = "listed again, or its daemon no longer vouches for it"}});
     }
   }
 }
--- a/src/once/key_home_impl.h
+++ b/src/once/key_home_impl.h
@@ -1,5 +1,5 @@
 // Implementation of basic_key_home, for key_home.cc and for tests that
-// instantiate it without one of its guards.
+// instantiate it with a guard disabled.
 #pragma once
 
 #include <algorithm>
@@ -10,9 +10,9 @@
 
 namespace pistachioweir {
 
-// Whether another target may do better than the one that refused for `why`.
-// What is wrong with the request itself is wrong everywhere.
-inline bool IsWorthMoving(reason why) {
+// Whether another target may accept a request that one target refused for
+// `why`. An invalid request is refused by every target.
+inline bool IsRetryableElsewhere(reason why) {
   switch (why) {
     case reason::kNotReady:
     case reason::kDraining:
@@ -46,9 +46,10 @@
 
 template <typename Guards>
 auto basic_key_home<Guards>::Find(const idempotency_key& key) -> record_entry* {
-  // Guard HOME_INCARNATION in spec/at_most_once.pml. An earlier start of this
-  // daemon issued the key and may have had it executed; the record died with
-  // it, and the same number here belongs to another request.
+  // Guard HOME_INCARNATION in spec/at_most_once.pml. An earlier incarnation of
+  // this daemon issued the key and may have had it executed; its record was
+  // lost with that process, and the same number here belongs to another
+  // request.
   if (Guards::kHomeIncarnation &&
       key.home.incarnation != options_.self.incarnation) {
     return nullptr;
@@ -71,8 +72,8 @@
 
 template <typename Guards>
 void basic_key_home<Guards>::AdvanceTo(time_point now) {
-  // A thread that was held up brings an older time, at which a key that was
-  // told "expired" could still start.
+  // A thread that was preempted passes an older time, at which a key that was
+  // reported as expired could still start.
   now_ = std::max(now_, now);
 }
 
@@ -87,15 +88,15 @@
     return {.keys = {}, .refusal = reason::kDraining};
   }
   const auto found = callers_.find(caller);
-  const std::size_t held = found == callers_.end() ? 0 : found->second;
+  const std::size_t outstanding = found == callers_.end() ? 0 : found->second;
   issued_keys issued;
   while (issued.keys.size() < count &&
-         held + issued.keys.size() < options_.max_keys_per_caller &&
-         MakeRoom(1)) {
+         outstanding + issued.keys.size() < options_.max_keys_per_caller &&
+         EnsureCapacity(1)) {
     const std::uint64_t sequence =
-        begun_.Open() * options_.shards + options_.shard;
-    auto& holder = *callers_.try_emplace(caller, 0).first;
-    Insert(sequence, holder, lifetime);
+        begun_.Append() * options_.shards + options_.shard;
+    auto& caller_entry = *callers_.try_emplace(caller, 0).first;
+    Insert(sequence, caller_entry, lifetime);
     issued.keys.push_back(KeyOf(sequence));
   }
   counters_.issued += issued.keys.size();
@@ -106,11 +107,11 @@
   return issued;
 }
 
-// Settled keys give way to new ones: callers wait for keys, while a settled
-// one is asked about only after a lost answer. Whoever asks then is told
-// truthfully that the answer is gone.
+// Evicts settled keys to make room for new ones: callers wait for new keys, but
+// query a settled one only after they lost its answer. Such a query receives
+// kAnswerDiscarded.
 template <typename Guards>
-bool basic_key_home<Guards>::MakeRoom(std::uint32_t count) {
+bool basic_key_home<Guards>::EnsureCapacity(std::uint32_t count) {
   while (records_.size() + count > options_.max_keys && !settled_.empty()) {
     const std::uint64_t oldest = settled_.front();
     settled_.pop_front();
@@ -132,12 +133,12 @@
 void basic_key_home<Guards>::Insert(std::uint64_t sequence,
                                     typename caller_map::value_type& caller,
                                     milliseconds lifetime) {
-  key_record& fresh = records_[sequence];
-  fresh.caller = &caller;
-  fresh.lifetime = lifetime;
-  fresh.expires = now_ + lifetime;
+  key_record& added = records_[sequence];
+  added.caller = &caller;
+  added.lifetime = lifetime;
+  added.expires = now_ + lifetime;
   ++caller.second;
-  expiries_.push({.at = fresh.expires, .sequence = sequence});
+  expiries_.push({.at = added.expires, .sequence = sequence});
 }
 
 template <typename Guards>
@@ -146,16 +147,17 @@
   if (found == records_.end()) {
     return;
   }
-  key_record& gone = found->second;
-  if (gone.result != nullptr) {
-    answer_bytes_ -= gone.result->reply.body.size();
+  key_record& record = found->second;
+  if (record.result != nullptr) {
+    answer_bytes_ -= record.result->reply.body.size();
   }
-  ReleaseCaller(gone);
+  ReleaseCaller(record);
   records_.erase(found);
 }
 
 template <typename Guards>
-outcome basic_key_home<Guards>::JudgeMissing(const idempotency_key& key) const {
+outcome basic_key_home<Guards>::OutcomeOfMissing(
+    const idempotency_key& key) const {
   if (key.home.incarnation != options_.self.incarnation) {
     return Unknown(reason::kHomeUnreachable);
   }
@@ -164,9 +166,9 @@
       index >= begun_.end()) {
     return NotExecuted(reason::kBadKey);
   }
-  // Guard FORGOTTEN_KEY in spec/at_most_once.pml. A key that began and lost its
-  // record looks like one that expired unused; starting it runs it twice, and
-  // calling it "not executed" is a lie.
+  // Guard FORGOTTEN_KEY in spec/at_most_once.pml. A key that began and whose
+  // record was removed looks like one that expired unused; starting it would
+  // run it twice, and "not executed" would be false.
   if (begun_.IsMarked(index)) {
     return Unknown(reason::kAnswerDiscarded);
   }
@@ -174,8 +176,8 @@
 }
 
 template <typename Guards>
-finish_call basic_key_home<Guards>::Tell(const begin_request& request,
-                                         const outcome& result) {
+finish_call basic_key_home<Guards>::MakeFinishCall(const begin_request& request,
+                                                   const outcome& result) {
   return {.key = request.key,
           .waiters = {request.waiter},
           .result = result,
@@ -188,15 +190,15 @@
   AdvanceTo(now);
   record_entry* entry = Find(request.key);
   if (entry == nullptr) {
-    const outcome judged = JudgeMissing(request.key);
+    const outcome judged = OutcomeOfMissing(request.key);
     const bool forgotten =
         judged.why == reason::kAnswerDiscarded && !Guards::kForgottenKey;
     const bool foreign =
         judged.why == reason::kHomeUnreachable && !Guards::kHomeIncarnation;
     if (!forgotten && !foreign) {
-      return Tell(request, judged);
+      return MakeFinishCall(request, judged);
     }
-    // Only without one of these guards: takes the key for a fresh one.
+    // Only with one of these guards disabled: treats the key as a new one.
     Insert(request.key.sequence, *callers_.try_emplace("", 0).first,
            milliseconds(1000));
     entry = Find(request.key);
@@ -204,7 +206,7 @@
   key_record& record = entry->second;
   if (record.state == key_state::kIssued) {
     if (now_ >= record.expires) {
-      return Tell(request, NotExecuted(reason::kKeyExpired));
+      return MakeFinishCall(request, NotExecuted(reason::kKeyExpired));
     }
     return BeginIssued(*entry, request);
   }
@@ -228,46 +230,47 @@
                                          const begin_request& request) {
   key_record& record = entry.second;
   if (record.fingerprint != request.fingerprint) {
-    return Tell(request, NotExecuted(reason::kBadKey));
+    return MakeFinishCall(request, NotExecuted(reason::kBadKey));
   }
   if (record.state == key_state::kFinished) {
-    // Guard FINAL_REFUSAL in spec/at_most_once.pml. The caller that was told
-    // "not executed" may have given the request up or sent it under another
-    // key; a copy that a paused daemon lets go later must not run.
+    // Guard FINAL_REFUSAL in spec/at_most_once.pml. The caller that received
+    // "not executed" may have abandoned the request or sent it under another
+    // key; a copy that arrives later from a paused daemon must not run.
     if (!Guards::kFinalRefusal &&
         record.result->kind == outcome_kind::kNotExecuted) {
       record.result.reset();
       return BeginIssued(entry, request);
     }
     ++counters_.replayed;
-    return Tell(request, *record.result);
+    return MakeFinishCall(request, *record.result);
   }
   if (record.state == key_state::kGaveUp) {
-    return AskAgain(entry, request);
+    return ResendForResult(entry, request);
   }
-  // Guard HOME_JOIN in spec/at_most_once.pml. Callers send again after silence,
-  // often while the first copy still runs.
+  // Guard HOME_JOIN in spec/at_most_once.pml. Callers that receive no answer
+  // resend, often while the first copy still runs.
   if (!Guards::kHomeJoin) {
     return BeginIssued(entry, request);
   }
   if (record.running->waiters.size() >= options_.max_waiters) {
-    return Tell(request, Unknown(reason::kTimeout));
+    return MakeFinishCall(request, Unknown(reason::kTimeout));
   }
   ++counters_.joined;
   record.running->waiters.push_back(request.waiter);
   return no_action{};
 }
 
-// The execution's callers were told unknown, and one of them asks again. A copy
-// of the same attempt fetches the result from the executor, or runs there if no
-// earlier copy came through; either way there is one execution.
+// The callers received an unknown outcome, and one of them retries. A copy of
+// the same attempt fetches the result from the executor, or runs there if no
+// earlier copy arrived; either way there is one execution.
 template <typename Guards>
-home_action basic_key_home<Guards>::AskAgain(record_entry& entry,
-                                             const begin_request& request) {
+home_action basic_key_home<Guards>::ResendForResult(
+    record_entry& entry,
+    const begin_request& request) {
   key_record& record = entry.second;
   if (record.result->why == reason::kStale) {
     ++counters_.replayed;
-    return Tell(request, *record.result);
+    return MakeFinishCall(request, *record.result);
   }
   ++counters_.resent;
   running_execution& running = *record.running;
@@ -290,16 +293,16 @@
   AdvanceTo(now);
   record_entry* entry = Find(request.key);
   if (entry == nullptr) {
-    return Tell(request, JudgeMissing(request.key));
+    return MakeFinishCall(request, OutcomeOfMissing(request.key));
   }
   if (entry->second.state != key_state::kIssued) {
     return Join(*entry, request);
   }
   entry->second.fingerprint = request.fingerprint;
   begun_.Mark(IndexOf(entry->first));
-  finish_call told = Tell(request, refusal);
-  KeepResult(*entry, refusal);
-  return told;
+  finish_call finish = MakeFinishCall(request, refusal);
+  StoreResult(*entry, refusal);
+  return finish;
 }
 
 template <typename Guards>
@@ -328,10 +331,10 @@
   running.epoch = epoch;
   running.sends = 1;
   running.only_copy = true;
-  running.lent = running.ledger.Lend();
+  running.lent_credit = running.ledger.Lend();
   return send_attempt{.binding = BindingOf(*entry),
                       .target = target.vm,
-                      .credit = running.lent,
+                      .credit = running.lent_credit,
                       .delay = milliseconds(0)};
 }
 
@@ -364,36 +367,36 @@
     return no_action{};
   }
   running_execution& running = *entry->second.running;
-  // Guard ANSWER_INCARNATION in spec/at_most_once.pml. Whatever another start
-  // of the executor says, the one that the attempt was bound to may have run
-  // it before it died.
+  // Guard ANSWER_INCARNATION in spec/at_most_once.pml. Whatever another
+  // incarnation of the executor answers, the one that the attempt was bound to
+  // may have run it before it crashed.
   if (Guards::kAnswerIncarnation &&
       answer.executor != running.target.incarnation) {
     return GiveUp(*entry, reason::kStale, false);
   }
   const outcome& result = answer.result;
   if (result.kind == outcome_kind::kCompleted) {
-    running.ledger.Return(running.lent, answer.unspent_credit);
-    running.lent = 0;
+    running.ledger.Return(running.lent_credit, answer.unspent_credit);
+    running.lent_credit = 0;
     return Settle(*entry, result);
   }
   // Guard STALE_NOT_DEFINITE in spec/at_most_once.pml: an earlier copy may have
   // run while its epoch was current.
   const bool stale = result.why == reason::kStale;
   // Guard BUSY_NOT_DEFINITE in spec/at_most_once.pml: an earlier copy may have
-  // run and left, or stand in the network until the table has room.
+  // run and its record been removed, or be in transit until the table has room.
   const bool busy =
       result.why == reason::kTableFull && result.kind == outcome_kind::kUnknown;
   const bool definite = result.kind == outcome_kind::kNotExecuted ||
                         (stale && !Guards::kStaleNotDefinite) ||
                         (busy && !Guards::kBusyNotDefinite);
   if (definite) {
-    running.ledger.Return(running.lent, answer.unspent_credit);
-    running.lent = 0;
-    return MoveOn(*entry, NotExecuted(result.why, result.retry_after));
+    running.ledger.Return(running.lent_credit, answer.unspent_credit);
+    running.lent_credit = 0;
+    return TryNextTarget(*entry, NotExecuted(result.why, result.retry_after));
   }
   if (busy) {
-    return SendAgain(*entry, options_.busy_pause, reason::kTableFull);
+    return Resend(*entry, options_.busy_retry_delay, reason::kTableFull);
   }
   return GiveUp(*entry, result.why, false);
 }
@@ -408,15 +411,15 @@
     return no_action{};
   }
   running_execution& running = *entry->second.running;
-  // Guard ONLY_COPY in spec/at_most_once.pml. That this copy wasn't sent says
-  // nothing of one that was sent before it.
+  // Guard ONLY_COPY in spec/at_most_once.pml. That this copy wasn't sent
+  // implies nothing about a copy that was sent before it.
   const bool definite = running.only_copy || !Guards::kOnlyCopy;
   if (!definite || entry->second.state == key_state::kGaveUp) {
     return AttemptLost(key, attempt, now);
   }
-  running.ledger.Return(running.lent, running.lent);
-  running.lent = 0;
-  return MoveOn(*entry, NotExecuted(reason::kConnectionLost));
+  running.ledger.Return(running.lent_credit, running.lent_credit);
+  running.lent_credit = 0;
+  return TryNextTarget(*entry, NotExecuted(reason::kConnectionLost));
 }
 
 template <typename Guards>
@@ -428,20 +431,20 @@
   if (entry == nullptr) {
     return no_action{};
   }
-  // Guard MOVE_ON_DEFINITE in spec/at_most_once.pml. Silence doesn't tell
-  // whether the attempt runs, ran, or is still on its way.
+  // Guard MOVE_ON_DEFINITE in spec/at_most_once.pml. A missing answer doesn't
+  // show whether the attempt is running, has run, or is in transit.
   if (!Guards::kMoveOnDefinite) {
-    return MoveOn(*entry, NotExecuted(reason::kConnectionLost));
+    return TryNextTarget(*entry, NotExecuted(reason::kConnectionLost));
   }
-  return SendAgain(*entry, milliseconds(0), reason::kConnectionLost);
+  return Resend(*entry, milliseconds(0), reason::kConnectionLost);
 }
 
-// A copy goes to the same executor, which runs at most one of them. That is the
-// way out of a connection that has gone silent.
+// Resends the attempt to the same executor, which runs at most one copy. This
+// recovers from a connection that has stalled.
 template <typename Guards>
-home_action basic_key_home<Guards>::SendAgain(record_entry& entry,
-                                              milliseconds delay,
-                                              reason why) {
+home_action basic_key_home<Guards>::Resend(record_entry& entry,
+                                           milliseconds delay,
+                                           reason why) {
   running_execution& running = *entry.second.running;
   if (entry.second.state == key_state::kGaveUp) {
     return no_action{};
@@ -454,17 +457,17 @@
   ++counters_.resent;
   return send_attempt{.binding = BindingOf(entry),
                       .target = running.target.vm,
-                      .credit = running.lent,
+                      .credit = running.lent_credit,
                       .delay = delay};
 }
 
-// The attempt definitely didn't run and never will.
+// Called if the attempt definitely did not run and never will.
 template <typename Guards>
-home_action basic_key_home<Guards>::MoveOn(record_entry& entry,
-                                           const outcome& refusal) {
+home_action basic_key_home<Guards>::TryNextTarget(record_entry& entry,
+                                                  const outcome& refusal) {
   running_execution& running = *entry.second.running;
   if (entry.second.state == key_state::kGaveUp || running.waiters.empty() ||
-      !IsWorthMoving(refusal.why) || !running.ledger.Spend()) {
+      !IsRetryableElsewhere(refusal.why) || !running.ledger.Spend()) {
     return Settle(entry, refusal);
   }
   ++counters_.moved;
@@ -511,8 +514,8 @@
 }
 
 template <typename Guards>
-home_action basic_key_home<Guards>::Leave(const idempotency_key& key,
-                                          waiter_id waiter) {
+home_action basic_key_home<Guards>::RemoveWaiter(const idempotency_key& key,
+                                                 waiter_id waiter) {
   record_entry* entry = Find(key);
   if (entry == nullptr || entry->second.running == nullptr) {
     return no_action{};
@@ -541,42 +544,42 @@
     return no_action{};
   }
   ++counters_.unknown;
-  finish_call told{.key = KeyOf(entry.first),
-                   .waiters = std::move(running.waiters),
-                   .result = Unknown(why),
-                   .cancel = std::nullopt};
+  finish_call finish{.key = KeyOf(entry.first),
+                     .waiters = std::move(running.waiters),
+                     .result = Unknown(why),
+                     .cancel = std::nullopt};
   running.waiters.clear();
-  running.ledger.Lose(running.lent);
-  running.lent = 0;
+  running.ledger.Lose(running.lent_credit);
+  running.lent_credit = 0;
   if (cancel) {
-    told.cancel =
+    finish.cancel =
         send_cancel{.binding = BindingOf(entry), .target = running.target.vm};
   }
   entry.second.state = key_state::kGaveUp;
-  entry.second.result = std::make_unique<outcome>(told.result);
+  entry.second.result = std::make_unique<outcome>(finish.result);
   MarkSettled(entry);
-  return told;
+  return finish;
 }
 
 template <typename Guards>
 home_action basic_key_home<Guards>::Settle(record_entry& entry,
                                            const outcome& result) {
-  finish_call told{.key = KeyOf(entry.first),
-                   .waiters = std::move(entry.second.running->waiters),
-                   .result = result,
-                   .cancel = std::nullopt};
-  KeepResult(entry, result);
-  return told;
+  finish_call finish{.key = KeyOf(entry.first),
+                     .waiters = std::move(entry.second.running->waiters),
+                     .result = result,
+                     .cancel = std::nullopt};
+  StoreResult(entry, result);
+  return finish;
 }
 
 template <typename Guards>
-void basic_key_home<Guards>::KeepResult(record_entry& entry,
-                                        const outcome& result) {
+void basic_key_home<Guards>::StoreResult(record_entry& entry,
+                                         const outcome& result) {
   key_record& record = entry.second;
   record.state = key_state::kFinished;
   record.running.reset();
   record.result = std::make_unique<outcome>(result);
-  // A caller whose answer was lost has a whole lifetime to ask again.
+  // A caller whose answer was lost has a full lifetime to retry.
   record.expires = std::max(record.expires, now_ + record.lifetime);
   MarkSettled(entry);
   if (result.reply.body.empty()) {
@@ -598,9 +601,9 @@
 
 template <typename Guards>
 void basic_key_home<Guards>::ReleaseCaller(key_record& record) {
-  auto* const holder = std::exchange(record.caller, nullptr);
-  if (holder != nullptr && --holder->second == 0) {
-    callers_.erase(callers_.find(holder->first));
+  auto* const caller_entry = std::exchange(record.caller, nullptr);
+  if (caller_entry != nullptr && --caller_entry->second == 0) {
+    callers_.erase(callers_.find(caller_entry->first));
   }
 }
 
@@ -642,7 +645,7 @@
     const key_state state = found->second.state;
     const bool busy = state == key_state::kPlacing || state == key_state::kSent;
     if (found->second.expires > now_ || busy) {
-      // Looked at again when it can be over at the earliest.
+      // Checks again at the earliest time at which it can have expired.
       const duration pause = std::max(found->second.lifetime, milliseconds(1));
       expiries_.push({.at = std::max(found->second.expires, now_ + pause),
                       .sequence = sequence});
@@ -650,29 +653,29 @@
     }
     Erase(sequence);
   }
-  Compact();
+  CompactQueues();
 }
 
 // Evicted and expired keys leave their numbers in the queues. Under a flood of
-// short requests these would outgrow the records themselves.
+// short requests the queues would outgrow the records.
 template <typename Guards>
-void basic_key_home<Guards>::Compact() {
-  const std::size_t most = 2 * records_.size() + 64;
-  const auto gone = [this](std::uint64_t sequence) {
+void basic_key_home<Guards>::CompactQueues() {
+  const std::size_t max_entries = 2 * records_.size() + 64;
+  const auto is_erased = [this](std::uint64_t sequence) {
     return !records_.contains(sequence);
   };
-  if (settled_.size() > most) {
-    std::erase_if(settled_, gone);
+  if (settled_.size() > max_entries) {
+    std::erase_if(settled_, is_erased);
   }
-  if (answered_.size() > most) {
-    std::erase_if(answered_, gone);
+  if (answered_.size() > max_entries) {
+    std::erase_if(answered_, is_erased);
   }
-  if (expiries_.size() > most) {
-    decltype(expiries_) kept;
+  if (expiries_.size() > max_entries) {
+    decltype(expiries_) remaining;
     for (const auto& [sequence, record] : records_) {
-      kept.push({.at = record.expires, .sequence = sequence});
+      remaining.push({.at = record.expires, .sequence = sequence});
     }
-    expiries_ = std::move(kept);
+    expiries_ = std::move(remaining);
   }
 }
 
--- a/tests/forward_path_test.cc
+++ b/tests/forward_path_test.cc
@@ -1,5 +1,5 @@
-// The way of a request through one daemon, from its caller's connection to its
-// target's and back, over real sockets. Both protocols are the platform's.
+// Forwarding through one daemon, from a caller's connection to the target's and
+// back, over real sockets and the platform's protocols.
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -57,7 +57,7 @@
   client.Request("POST", "/sign/x?y=%20z", "id-1", "body",
                  "X-Own: 1\r\nCaller-Service: forged\r\n"
                  "Expected-Instance: forged\r\n");
-  const read_response answer = client.Next();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 201);
   EXPECT_EQ(answer.body, "made");
   EXPECT_EQ(FindHeader(answer.headers, "X-Made"), "yes");
@@ -76,20 +76,20 @@
   EXPECT_GT(std::stoi(Header(seen, "Deadline-Ms")), 3000);
 }
 
-TEST_F(forward_path_test, SaysWhatItCannotServe) {
+TEST_F(forward_path_test, RefusesRequestsThatItCannotRoute) {
   caller early(path_);
   early.Request("GET", "/look/1", "id-1");
-  const read_response unready = early.Next();
+  const read_response unready = early.NextResponse();
   EXPECT_EQ(unready.status, 503);
   EXPECT_TRUE(FindHeader(unready.headers, "Retry-After").has_value());
   path_.Configure();
   early.Request("GET", "/nowhere/1", "id-2");
-  EXPECT_EQ(early.Next().status, 404);
+  EXPECT_EQ(early.NextResponse().status, 404);
 }
 
-// A request crashes the target that runs it, and its caller sends it again once
-// the target is back. Each time all others lose what the target had in progress
-// for them. From the third time on the request must not reach a target.
+// Guards against a request that crashes its target whenever the caller resends
+// it, which each time loses the target's other runs. From the third time on it
+// must not reach a target.
 TEST_F(forward_path_test, ARequestThatCrashesItsTargetTwiceIsRefused) {
   path_.Configure();
   std::size_t poisoned = 0;
@@ -98,32 +98,32 @@
     if (request.target == "/sign/poison") {
       ++poisoned;
       from->Reset();
-      path_.calls.SetTargetStart("start-" + std::to_string(poisoned));
+      path_.target_side.SetTargetStart("start-" + std::to_string(poisoned));
       return;
     }
     from->Send(fake_http_target::Answer(request, "well"));
   };
-  path_.calls.SetTargetStart("start-0");
+  path_.target_side.SetTargetStart("start-0");
   caller client(path_);
   for (int i = 0; i < 2; ++i) {
     client.Request("POST", "/sign/poison", "id-" + std::to_string(i), "body");
-    EXPECT_EQ(client.Next().status, 502);
-    // Another start of the target is registered after the cut was noticed.
-    path_.calls.SetTargetStart("again-" + std::to_string(i));
+    EXPECT_EQ(client.NextResponse().status, 502);
+    // The target's new start is registered after the reset was detected.
+    path_.target_side.SetTargetStart("again-" + std::to_string(i));
   }
   client.Request("POST", "/sign/poison", "id-3", "body");
-  const read_response refused = client.Next();
+  const read_response refused = client.NextResponse();
   EXPECT_EQ(refused.status, 503);
   EXPECT_EQ(FindHeader(refused.headers, "Retry-After"), "60.000");
   EXPECT_EQ(poisoned, 2U);
   client.Request("POST", "/sign/other", "id-4", "body");
-  EXPECT_EQ(client.Next().status, 200);
+  EXPECT_EQ(client.NextResponse().status, 200);
 }
 
-// Refused on the VMs of one service, the caller of such a request goes to those
-// of another. Told apart by the service that it comes from, the request crashed
-// two more targets for each of them.
-TEST_F(forward_path_test, ACrashingRequestIsKnownWhereverItComesFrom) {
+// Guards against crashing requests that are tracked per caller service: a
+// caller that is refused on the VMs of one service goes to those of another,
+// and the request crashed two more targets for each service.
+TEST_F(forward_path_test, ACrashingRequestIsRecognisedFromAnyCallerService) {
   path_.Configure();
   std::size_t poisoned = 0;
   path_.target.on_request = [&](const read_request&,
@@ -131,25 +131,27 @@
     ++poisoned;
     from->Reset();
   };
-  path_.calls.SetTargetStart("start-0");
+  path_.target_side.SetTargetStart("start-0");
   for (const std::string service : {"registry", "archive", "billing"}) {
     bool answered = false;
-    path_.calls.Serve({.target_id = "target-1",
-                       .route = "sign",
-                       .remaining = milliseconds(2000),
-                       .objective_left = milliseconds(1000),
-                       .caller_service = service,
-                       .request_id = "id-" + service,
-                       .request = {.verb = "POST", .target = "/sign/poison"}},
-                      [&](const answer_frame&) { answered = true; });
+    path_.target_side.Serve(
+        {.target_id = "target-1",
+         .route = "sign",
+         .remaining = milliseconds(2000),
+         .objective_left = milliseconds(1000),
+         .caller_service = service,
+         .request_id = "id-" + service,
+         .request = {.verb = "POST", .target = "/sign/poison"}},
+        [&](const answer_frame&) { answered = true; });
     ASSERT_TRUE(path_.RunUntil([&] { return answered; }));
-    path_.calls.SetTargetStart("start-after-" + service);
+    path_.target_side.SetTargetStart("start-after-" + service);
   }
   EXPECT_EQ(poisoned, 2U);
 }
 
-// A caller sends three lookups at once and the target answers the last one
-// first. Answers in that order would be taken for those of other requests.
+// Guards against answers sent in the target's order: the caller would match
+// them to the wrong requests. The target answers three pipelined lookups in
+// reverse.
 TEST_F(forward_path_test, PipelinedRequestsAreAnsweredInTheirOrder) {
   path_.Configure();
   std::vector<std::pair<read_request, connection_ptr>> held;
@@ -167,15 +169,15 @@
         fake_http_target::Answer(each->first, each->first.target));
     path_.RunFor(milliseconds(20));
   }
-  EXPECT_EQ(client.Next().body, "/look/1");
-  EXPECT_EQ(client.Next().body, "/look/2");
-  EXPECT_EQ(client.Next().body, "/look/3");
+  EXPECT_EQ(client.NextResponse().body, "/look/1");
+  EXPECT_EQ(client.NextResponse().body, "/look/2");
+  EXPECT_EQ(client.NextResponse().body, "/look/3");
 }
 
-// A signature comes behind a lookup that is not answered yet. If the answer of
-// the lookup ended the connection, the caller would take the signature as not
-// read and send it again; so it is not begun before.
-TEST_F(forward_path_test, ASignatureIsNotBegunBehindOtherRequests) {
+// Guards against double execution: if the answer to the pipelined lookup closed
+// the connection, the caller would assume that the at-most-once request behind
+// it was not read, and resend it. So that one is not started before the answer.
+TEST_F(forward_path_test, AnAtMostOnceRequestIsNotStartedBehindOthers) {
   path_.Configure();
   std::vector<std::pair<read_request, connection_ptr>> held;
   path_.target.on_request = [&](const read_request& request,
@@ -194,8 +196,9 @@
 }
 
 // The target sends an answer twice. The second copy arrives where the answer to
-// the next request is expected; that request's caller must get its own.
-TEST_F(forward_path_test, ASecondAnswerBelongsToNoOtherRequest) {
+// the next request is expected, and must not be returned to that request's
+// caller.
+TEST_F(forward_path_test, ADuplicateAnswerIsNotMatchedToAnotherRequest) {
   path_.Configure();
   int number = 0;
   std::string first;
@@ -210,17 +213,17 @@
   };
   caller client(path_);
   client.Request("GET", "/look/1", "id-1");
-  EXPECT_EQ(client.Next().body, "first");
+  EXPECT_EQ(client.NextResponse().body, "first");
   client.Request("GET", "/look/2", "id-2");
-  EXPECT_EQ(client.Next().body, "second");
+  EXPECT_EQ(client.NextResponse().body, "second");
   client.Request("GET", "/look/3", "id-3");
-  EXPECT_EQ(client.Next().body, "second");
-  // The connection on which something odd came was not used again.
+  EXPECT_EQ(client.NextResponse().body, "second");
+  // The connection with the unexpected answer was not reused.
   EXPECT_EQ(path_.target.connections, 2);
 }
 
-// The same, but the second copy comes while nothing is asked.
-TEST_F(forward_path_test, BytesOnAnIdleConnectionEndIt) {
+// The same, but the second copy arrives while no request is open.
+TEST_F(forward_path_test, UnexpectedBytesCloseAnIdleConnection) {
   path_.Configure();
   connection_ptr last;
   path_.target.on_request = [&](const read_request& request,
@@ -230,17 +233,18 @@
   };
   caller client(path_);
   client.Request("GET", "/look/1", "id-1");
-  EXPECT_EQ(client.Next().body, "/look/1");
+  EXPECT_EQ(client.NextResponse().body, "/look/1");
   last->Send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx");
   path_.RunFor(milliseconds(30));
   client.Request("GET", "/look/2", "id-2");
-  EXPECT_EQ(client.Next().body, "/look/2");
+  EXPECT_EQ(client.NextResponse().body, "/look/2");
   EXPECT_EQ(path_.target.connections, 2);
 }
 
-// The target's process ends in the middle of an answer to a signature. It may
-// have run: its caller gets neither half an answer nor a promise.
-TEST_F(forward_path_test, ACutAnswerIsAFailureThatPromisesNothing) {
+// The target's process ends within its answer to an at-most-once request, which
+// may have run: the caller must get neither a truncated answer nor a statement
+// that it was not executed.
+TEST_F(forward_path_test, ATruncatedAnswerIsReportedAsUnknown) {
   path_.Configure();
   path_.target.on_request = [](const read_request& request,
                                const connection_ptr& from) {
@@ -250,11 +254,12 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  EXPECT_EQ(client.Next().status, 502);
+  EXPECT_EQ(client.NextResponse().status, 502);
   EXPECT_EQ(path_.target.requests.size(), 1U);
 }
 
-TEST_F(forward_path_test, AnAnswerWithoutALengthIsWholeOnlyIfItEndsInOrder) {
+TEST_F(forward_path_test,
+       AnAnswerWithoutALengthIsCompleteOnlyAfterAnOrderlyClose) {
   path_.Configure();
   bool in_order = true;
   path_.target.on_request = [&](const read_request& request,
@@ -270,17 +275,18 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  const read_response whole = client.Next();
+  const read_response whole = client.NextResponse();
   EXPECT_EQ(whole.status, 200);
   EXPECT_EQ(whole.body, "hello");
   in_order = false;
   client.Request("POST", "/sign/2", "id-2", "x");
-  EXPECT_EQ(client.Next().status, 502);
+  EXPECT_EQ(client.NextResponse().status, 502);
 }
 
-// The target rejects a long body before it has read it and goes on reading. The
-// next request on that connection would be taken for the rest of the body.
-TEST_F(forward_path_test, AConnectionAnsweredEarlyIsNotUsedAgain) {
+// The target rejects a long body before it has read all of it and goes on
+// reading: it would take the next request on that connection for the rest of
+// the body.
+TEST_F(forward_path_test, AConnectionAnsweredEarlyIsNotReused) {
   path_.Configure();
   int number = 0;
   path_.target.on_head = [&](fake_http_target::connection& from) {
@@ -298,14 +304,14 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", std::string(900000, 'x'));
-  EXPECT_EQ(client.Next().status, 413);
+  EXPECT_EQ(client.NextResponse().status, 413);
   client.Request("POST", "/sign/2", "id-2", "y");
-  EXPECT_EQ(client.Next().body, "next");
+  EXPECT_EQ(client.NextResponse().body, "next");
 }
 
-// The target says that it hasn't run the request, and there is no other. The
-// caller is told so, and when to come back.
-TEST_F(forward_path_test, ARefusalOfTheTargetIsToldTruly) {
+// The only target states that it hasn't run the request. The caller gets that
+// and a Retry-After.
+TEST_F(forward_path_test, ATargetsRefusalIsReportedAsNotExecuted) {
   path_.Configure();
   path_.target.on_request = [](const read_request& request,
                                const connection_ptr& from) {
@@ -314,15 +320,16 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  const read_response answer = client.Next();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 503);
   EXPECT_TRUE(FindHeader(answer.headers, "Retry-After").has_value());
   EXPECT_FALSE(FindHeader(answer.headers, "Response-Signature").has_value());
 }
 
-// A target's own 503 without that word has run; passed on as it is, its
-// signature tells the caller whose it is.
-TEST_F(forward_path_test, ATargetsOwnFailureIsPassedOn) {
+// A target's error, such as a 503, without Not-Executed means that the request
+// has run. It is forwarded unchanged; its signature identifies the target as
+// its source.
+TEST_F(forward_path_test, ATargetsOwnFailureIsForwarded) {
   path_.Configure();
   path_.target.on_request = [](const read_request& request,
                                const connection_ptr& from) {
@@ -330,7 +337,7 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  const read_response answer = client.Next();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 500);
   EXPECT_EQ(answer.body, "broken");
   EXPECT_EQ(FindHeader(answer.headers, "Response-Signature"), "s.id-1");
@@ -345,36 +352,36 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  EXPECT_EQ(client.Next().status, 503);
+  EXPECT_EQ(client.NextResponse().status, 503);
 }
 
-// The target does not answer. Its caller is told at the route's timeout that
-// nobody knows, long before its own deadline.
-TEST_F(forward_path_test, TheRoutesTimeoutIsKept) {
+// The target does not answer. The caller gets an unknown outcome at the route's
+// timeout, long before its own deadline.
+TEST_F(forward_path_test, TheRoutesTimeoutIsEnforced) {
   path_.Configure(milliseconds(200));
   caller client(path_);
   const time_point start = monotonic_clock::now();
   client.Request("POST", "/sign/1", "id-1", "x");
-  EXPECT_EQ(client.Next().status, 504);
+  EXPECT_EQ(client.NextResponse().status, 504);
   EXPECT_GE(monotonic_clock::now() - start, milliseconds(190));
   EXPECT_LE(std::stoi(Header(path_.target.requests[0], "Deadline-Ms")), 200);
 }
 
-// A caller gives up a lookup. The target would go on with work that nobody
-// waits for; its connection is closed, which makes it stop.
-TEST_F(forward_path_test, ALookupWhoseCallerLeavesIsStopped) {
+// A caller disconnects during a lookup. Its connection to the target is closed,
+// which cancels the work; else the target would continue it for nobody.
+TEST_F(forward_path_test, ALookupWhoseCallerDisconnectsIsCancelled) {
   path_.Configure();
   caller client(path_);
   client.Request("GET", "/look/1", "id-1");
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.target.requests.size() == 1; }));
-  client.Leave();
+  client.Disconnect();
   ASSERT_TRUE(path_.RunUntil([&] { return path_.target.ended == 1; }));
 }
 
-// The target was restarted while connections to it were kept. The next lookup
-// must not be lost on one of those.
-TEST_F(forward_path_test, AConnectionThatEndedWhileIdleIsNotUsed) {
+// The target restarts while pooled connections to it are idle. The next request
+// must not be lost on one of them.
+TEST_F(forward_path_test, AConnectionClosedWhileIdleIsNotReused) {
   path_.Configure();
   connection_ptr last;
   path_.target.on_request = [&](const read_request& request,
@@ -384,25 +391,25 @@
   };
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  EXPECT_EQ(client.Next().status, 200);
+  EXPECT_EQ(client.NextResponse().status, 200);
   last->Reset();
   path_.RunFor(milliseconds(30));
   client.Request("POST", "/sign/2", "id-2", "x");
-  EXPECT_EQ(client.Next().status, 200);
+  EXPECT_EQ(client.NextResponse().status, 200);
 }
 
-TEST_F(forward_path_test, NobodyAtTheTargetMeansNotExecuted) {
+TEST_F(forward_path_test, AnUnreachableTargetMeansNotExecuted) {
   path_.Configure();
-  path_.target.Die();
+  path_.target.Crash();
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "x");
-  EXPECT_EQ(client.Next().status, 503);
+  EXPECT_EQ(client.NextResponse().status, 503);
 }
 
-// A target calls another one in the last milliseconds before its own caller
-// gives up, or answers then that it has run out of time and is asked once more
-// elsewhere. No target can do anything in the time that is left, and what has
-// not been sent can be refused truthfully.
+// Requests may arrive, or be retried after a target ran out of time, in the
+// last milliseconds before the deadline. No target can finish them in that
+// time, and a request that was never sent can safely be refused as not
+// executed.
 TEST_F(forward_path_test, ARequestWithoutTimeLeftIsNotSent) {
   path_.Configure();
   path_.target.on_request = [&](const read_request& request,
@@ -415,39 +422,39 @@
   };
   caller client(path_);
   client.Request("GET", "/look/1", "id-1");
-  EXPECT_EQ(client.Next().status, 200);
+  EXPECT_EQ(client.NextResponse().status, 200);
   client.Send(
       "GET /look/2 HTTP/1.1\r\nHost: a.example\r\nRequest-Id: id-2\r\n"
       "Deadline-Ms: 10\r\n\r\n");
-  EXPECT_EQ(client.Next().status, 503);
+  EXPECT_EQ(client.NextResponse().status, 503);
   EXPECT_EQ(path_.target.requests.size(), 1U);
 }
 
-// A stopping daemon ends each connection behind its answer, so that its callers
-// go elsewhere, and refuses what it could not finish.
-TEST_F(forward_path_test, AStoppingDaemonClosesBehindItsAnswers) {
+// A stopping daemon closes each connection after its answer, so that callers go
+// elsewhere, and refuses requests that it could not finish.
+TEST_F(forward_path_test, AStoppingDaemonClosesConnectionsAfterAnswers) {
   path_.Configure();
   AnswerAll();
   caller client(path_);
   path_.server.Drain();
   client.Request("GET", "/look/1", "id-1");
-  const read_response answer = client.Next();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 200);
   EXPECT_FALSE(answer.keep_alive);
-  ASSERT_TRUE(path_.RunUntil([&] { return client.ended; }));
+  ASSERT_TRUE(path_.RunUntil([&] { return client.closed; }));
   path_.server.RefuseNew();
   caller late(path_);
   late.Request("GET", "/look/2", "id-2");
-  EXPECT_EQ(late.Next().status, 503);
+  EXPECT_EQ(late.NextResponse().status, 503);
   EXPECT_EQ(path_.target.requests.size(), 1U);
 }
 
-// Two callers connect at the moment at which a stopping daemon finds nothing in
-// progress and ends. Both connections have been taken, one of them unseen. Its
-// request was begun, and cut off 25 ms later with its target at work: the
-// caller of a signature doesn't know whether it ran (soak: cut by a planned
-// stop).
-TEST_F(forward_path_test, AConnectionThatTurnsUpBehindTheEndIsDropped) {
+// Guards against a request that is started after the daemon decided to exit.
+// Two callers connect just as it finds nothing in progress; the kernel has
+// accepted both connections, the daemon only one. The request on the other was
+// started and interrupted 25 ms later while running at the target, so that the
+// outcome of an at-most-once request was unknown (soak: cut by a planned stop).
+TEST_F(forward_path_test, AConnectionAcceptedAfterCloseIsDropped) {
   path_.Configure();
   AnswerAll();
   caller first(path_);
@@ -457,68 +464,68 @@
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.server.state().sessions == 1; }));
   path_.server.Close();
-  ASSERT_TRUE(path_.RunUntil([&] { return first.ended && second.ended; }));
+  ASSERT_TRUE(path_.RunUntil([&] { return first.closed && second.closed; }));
   EXPECT_TRUE(path_.target.requests.empty());
   EXPECT_TRUE(second.answers.empty());
 }
 
-// Guards against requests that the end of a planned stop cuts.
-TEST_F(forward_path_test, WhatAStopCannotAwaitIsAnswered) {
+// Guards against requests that are interrupted at the end of a planned stop.
+TEST_F(forward_path_test, RequestsThatAStopCannotAwaitAreAnswered) {
   path_.Configure();
   caller client(path_);
   client.Request("POST", "/sign/1", "id-1", "body");
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.target.requests.size() == 1; }));
   path_.server.Drain();
-  path_.callers.EndOpen();
-  const read_response answer = client.Next();
+  path_.caller_side.EndOpenCalls();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 502);
   EXPECT_FALSE(answer.keep_alive);
-  EXPECT_EQ(path_.callers.counters().ended_by_stop, 1U);
+  EXPECT_EQ(path_.caller_side.counters().ended_by_stop, 1U);
   EXPECT_EQ(path_.server.state().open_requests, 0U);
 }
 
-// Guards against a queue in which requests wait past the end of the process.
+// Guards against requests that are queued past the exit of the process.
 TEST_F(forward_path_test, AStoppingDaemonQueuesNothingPastItsEnd) {
   path_.Configure();
-  path_.calls.SetSlots(1);
+  path_.target_side.SetSlots(1);
   caller first(path_);
   first.Request("POST", "/sign/1", "id-1", "body");
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.target.requests.size() == 1; }));
-  path_.callers.SetEnd(monotonic_clock::now() + milliseconds(100));
+  path_.caller_side.SetAnswerBy(monotonic_clock::now() + milliseconds(100));
   caller second(path_);
   second.Request("POST", "/sign/2", "id-2", "body");
-  EXPECT_EQ(second.Next().status, 503);
+  EXPECT_EQ(second.NextResponse().status, 503);
   EXPECT_EQ(path_.target.requests.size(), 1U);
 }
 
-// Guards against a queued call that is told as unknown though it never ran.
-TEST_F(forward_path_test, AnEndingExecutorTellsWhatHasNotBegun) {
+// Guards against a queued call that is reported as unknown though it never ran.
+TEST_F(forward_path_test, AStoppingExecutorReportsQueuedRunsAsNotExecuted) {
   path_.Configure();
-  path_.calls.SetSlots(1);
-  std::vector<answer_frame> told;
+  path_.target_side.SetSlots(1);
+  std::vector<answer_frame> answers;
   for (const std::string id : {"id-1", "id-2"}) {
-    path_.calls.Serve(
+    path_.target_side.Serve(
         {.target_id = "target-1",
          .route = "sign",
          .remaining = milliseconds(2000),
          .objective_left = milliseconds(1000),
          .request_id = id,
          .request = {.verb = "POST", .target = "/sign/" + id}},
-        [&](answer_frame answer) { told.push_back(std::move(answer)); });
+        [&](answer_frame answer) { answers.push_back(std::move(answer)); });
   }
   ASSERT_TRUE(
       path_.RunUntil([&] { return path_.target.requests.size() == 1; }));
-  path_.calls.EndOpen();
-  ASSERT_EQ(told.size(), 2U);
-  std::ranges::sort(told, {}, &answer_frame::reached_target);
-  EXPECT_EQ(told[0].kind, outcome_kind::kNotExecuted);
-  EXPECT_EQ(told[0].why, reason::kDraining);
-  EXPECT_EQ(told[1].kind, outcome_kind::kUnknown);
+  path_.target_side.EndOpenRuns();
+  ASSERT_EQ(answers.size(), 2U);
+  std::ranges::sort(answers, {}, &answer_frame::reached_target);
+  EXPECT_EQ(answers[0].kind, outcome_kind::kNotExecuted);
+  EXPECT_EQ(answers[0].why, reason::kDraining);
+  EXPECT_EQ(answers[1].kind, outcome_kind::kUnknown);
 }
 
-TEST_F(forward_path_test, AnswersNonsenseWithAClearRefusal) {
+TEST_F(forward_path_test, MalformedRequestsAreRejected) {
   path_.Configure();
   AnswerAll();
   caller client(path_);
@@ -526,14 +533,14 @@
       "POST /sign/1 HTTP/1.1\r\nHost: a.example\r\n"
       "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
       "0\r\n\r\nGET /look/1 HTTP/1.1\r\n\r\n");
-  const read_response answer = client.Next();
+  const read_response answer = client.NextResponse();
   EXPECT_EQ(answer.status, 400);
   EXPECT_FALSE(answer.keep_alive);
-  ASSERT_TRUE(path_.RunUntil([&] { return client.ended; }));
+  ASSERT_TRUE(path_.RunUntil([&] { return client.closed; }));
   EXPECT_TRUE(path_.target.requests.empty());
   caller next(path_);
   next.Request("GET", "/look/2", "id-2");
-  EXPECT_EQ(next.Next().status, 200);
+  EXPECT_EQ(next.NextResponse().status, 200);
 }
 
 }  // namespace
--- a/tests/key_home_test.cc
+++ b/tests/key_home_test.cc
@@ -65,7 +65,7 @@
                     .body = std::string(bytes, 'x')});
 }
 
-TEST_F(key_home_test, RunsOnceAndRemembers) {
+TEST_F(key_home_test, RunsOnceAndReplaysTheAnswer) {
   const auto key = IssueOne();
   const auto sent = BeginAt(key);
   EXPECT_EQ(sent.target, "vm-1");
@@ -81,8 +81,8 @@
   EXPECT_EQ(again.result.reply.body, "xx");
 }
 
-// The caller hears nothing for a while and sends again, through another daemon,
-// while the first copy still runs.
+// The caller receives no answer and resends through another daemon while the
+// first copy still runs.
 TEST_F(key_home_test, SecondCopyJoinsTheRunningOne) {
   const auto key = IssueOne();
   BeginAt(key);
@@ -93,9 +93,9 @@
   EXPECT_EQ(done.waiters.size(), 2U);
 }
 
-// A caller reuses a key for another request by mistake. Answering it with the
-// first request's answer would hand it somebody else's result.
-TEST_F(key_home_test, OtherBodyUnderTheKeyIsRefused) {
+// A caller reuses a key for another request by mistake. Replaying the answer of
+// the first request would return the wrong result.
+TEST_F(key_home_test, DifferentBodyUnderTheKeyIsRefused) {
   const auto key = IssueOne();
   BeginAt(key);
   const auto other =
@@ -107,7 +107,7 @@
   EXPECT_EQ(done.waiters, std::vector{waiter_id{1}});
 }
 
-TEST_F(key_home_test, MovesOnAfterARefusal) {
+TEST_F(key_home_test, TriesAnotherTargetAfterARefusal) {
   const auto key = IssueOne();
   BeginAt(key);
   const auto place = std::get<place_attempt>(home_.AttemptAnswered(
@@ -120,43 +120,45 @@
   EXPECT_EQ(sent.credit, 1U);
 }
 
-// The connection breaks after the request was sent. The executor may be running
-// it, so the home asks the same one again, then says unknown and cancels.
-TEST_F(key_home_test, SilenceNeverMovesOn) {
+// The connection is lost after the request was sent. The executor may be
+// running it, so the home resends to the same executor, then answers unknown
+// and cancels.
+TEST_F(key_home_test, NoAnswerNeverMovesToAnotherTarget) {
   const auto key = IssueOne();
   const auto first = BeginAt(key);
   const auto copy = std::get<send_attempt>(home_.AttemptLost(key, 1, kStart));
   EXPECT_EQ(copy.binding.executor, first.binding.executor);
   EXPECT_EQ(copy.binding.attempt, first.binding.attempt);
-  const auto told = std::get<finish_call>(home_.AttemptLost(key, 1, kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
-  ASSERT_TRUE(told.cancel);
-  EXPECT_EQ(told.cancel->target, "vm-1");
+  const auto finish = std::get<finish_call>(home_.AttemptLost(key, 1, kStart));
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
+  ASSERT_TRUE(finish.cancel);
+  EXPECT_EQ(finish.cancel->target, "vm-1");
 }
 
-// The VM is gone and refuses connections. Nothing was sent, so another target
-// can have the request at once.
-TEST_F(key_home_test, MovesOnIfNothingWasSent) {
+// The VM is down and refuses connections. Nothing was sent, so another target
+// can get the request at once.
+TEST_F(key_home_test, TriesAnotherTargetIfNothingWasSent) {
   const auto key = IssueOne();
   BeginAt(key);
   EXPECT_TRUE(std::holds_alternative<place_attempt>(
       home_.AttemptNotSent(key, 1, kStart)));
 }
 
-// The first copy was sent and its connection broke; then the VM refuses
+// The first copy was sent and its connection was lost; then the VM refuses
 // connections. The first copy may have run.
-TEST_F(key_home_test, DeadVmIsSilentIfACopyWasSentBefore) {
+TEST_F(key_home_test, UnreachableVmIsNotDefiniteAfterAnEarlierCopy) {
   const auto key = IssueOne();
   BeginAt(key);
   home_.AttemptLost(key, 1, kStart);
-  const auto told = std::get<finish_call>(home_.AttemptNotSent(key, 1, kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
+  const auto finish =
+      std::get<finish_call>(home_.AttemptNotSent(key, 1, kStart));
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
 }
 
-// The deadline passes while the request may run, and the caller asks again. By
-// now the VM refuses connections; that the second copy wasn't sent says nothing
-// of the first. Found by a random schedule.
-TEST_F(key_home_test, UnsentCopyAfterAskingAgainIsNotDefinite) {
+// The deadline passes while the request may run, and the caller retries. By now
+// the VM refuses connections; that the second copy wasn't sent implies nothing
+// about the first. Found by a random schedule.
+TEST_F(key_home_test, UnsentCopyAfterACallerRetryIsNotDefinite) {
   const auto key = IssueOne();
   BeginAt(key);
   home_.DeadlinePassed(key, kStart);
@@ -165,24 +167,24 @@
   EXPECT_FALSE(std::holds_alternative<place_attempt>(next));
 }
 
-// The executor dies while it runs the request, and a new start of it on the
-// same address refuses the copy.
-TEST_F(key_home_test, RefusalOfAnotherIncarnationIsNotBelieved) {
+// The executor crashes while it runs the request, and its new incarnation on
+// the same address refuses the copy.
+TEST_F(key_home_test, RefusalOfAnotherIncarnationIsUnknown) {
   const auto key = IssueOne();
   BeginAt(key);
-  const daemon_ref reborn{.vm = "vm-1", .incarnation = incarnation_id{99}};
-  const auto told = std::get<finish_call>(home_.AttemptAnswered(
-      key, 1, From(reborn, NotExecuted(reason::kNotReady)), kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
-  EXPECT_EQ(told.result.why, reason::kStale);
+  const daemon_ref restarted{.vm = "vm-1", .incarnation = incarnation_id{99}};
+  const auto finish = std::get<finish_call>(home_.AttemptAnswered(
+      key, 1, From(restarted, NotExecuted(reason::kNotReady)), kStart));
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
+  EXPECT_EQ(finish.result.why, reason::kStale);
 }
 
 TEST_F(key_home_test, StaleAndBusyAreNotRefusals) {
   const auto stale_key = IssueOne();
   BeginAt(stale_key);
-  const auto told = std::get<finish_call>(home_.AttemptAnswered(
+  const auto finish = std::get<finish_call>(home_.AttemptAnswered(
       stale_key, 1, From(kFirst, Unknown(reason::kStale)), kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
 
   const auto busy_key = IssueOne();
   BeginAt(busy_key);
@@ -192,14 +194,14 @@
   EXPECT_GT(copy.delay, milliseconds(0));
 }
 
-// The deadline passes while the request may run. The caller is told at once;
-// when it asks again, the executor is asked for what came of it.
-TEST_F(key_home_test, CallerLearnsALateResult) {
+// The deadline passes while the request may run. The caller is answered at
+// once; when it retries, the home fetches the result from the executor.
+TEST_F(key_home_test, CallerRetryReturnsALateResult) {
   const auto key = IssueOne();
   BeginAt(key);
-  const auto told = std::get<finish_call>(home_.DeadlinePassed(key, kStart));
-  EXPECT_EQ(told.result.why, reason::kTimeout);
-  ASSERT_TRUE(told.cancel);
+  const auto finish = std::get<finish_call>(home_.DeadlinePassed(key, kStart));
+  EXPECT_EQ(finish.result.why, reason::kTimeout);
+  ASSERT_TRUE(finish.cancel);
   const auto copy =
       std::get<send_attempt>(home_.Begin(Request(key, 2), kStart));
   EXPECT_EQ(copy.binding.executor, kFirst.incarnation);
@@ -212,14 +214,14 @@
 TEST_F(key_home_test, DeadlineBeforeAnythingWasSentIsDefinite) {
   const auto key = IssueOne();
   home_.Begin(Request(key), kStart);
-  const auto told = std::get<finish_call>(home_.DeadlinePassed(key, kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kNotExecuted);
+  const auto finish = std::get<finish_call>(home_.DeadlinePassed(key, kStart));
+  EXPECT_EQ(finish.result.kind, outcome_kind::kNotExecuted);
   EXPECT_TRUE(std::holds_alternative<no_action>(
       home_.Placed(key, 1, kFirst, epoch_id{3})));
 }
 
-// A caller is refused and gives up, or sends its request under a fresh key. A
-// first copy, which stood still in a paused daemon, arrives after that.
+// A caller is refused and gives up, or sends its request under a new key. An
+// earlier copy, delayed in a paused daemon, arrives after that.
 TEST_F(key_home_test, RefusedKeyNeverStarts) {
   const auto key = IssueOne();
   home_.Refuse(Request(key), NotExecuted(reason::kOverload, milliseconds(50)),
@@ -236,9 +238,10 @@
       home_.Refuse(Request(key, 2), NotExecuted(reason::kOverload), kStart)));
 }
 
-// A caller holds a key for too long, or its key's record was dropped for room.
-// The first never ran, the second may have; they must not be told the same.
-TEST_F(key_home_test, ExpiredAndForgottenKeysAreToldApart) {
+// A caller uses an expired key, or a key whose record was removed. The request
+// of the first never ran, that of the second may have; the outcomes must
+// differ.
+TEST_F(key_home_test, ExpiredAndEvictedKeysHaveDifferentOutcomes) {
   const auto unused = IssueOne();
   const auto used = IssueOne();
   BeginAt(used);
@@ -256,22 +259,23 @@
   EXPECT_EQ(forgotten.result.why, reason::kAnswerDiscarded);
 }
 
-// The home's daemon restarts, and a caller still holds a key of its last life.
+// The home's daemon restarts while a caller still holds a key of the previous
+// incarnation.
 TEST_F(key_home_test, KeyOfAnEarlierIncarnationIsUnknown) {
   auto key = IssueOne();
   key.home.incarnation = incarnation_id{2};
-  const auto told = std::get<finish_call>(home_.Begin(Request(key), kStart));
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
+  const auto finish = std::get<finish_call>(home_.Begin(Request(key), kStart));
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
 }
 
 TEST_F(key_home_test, KeyThatWasNeverIssuedIsRefused) {
   const idempotency_key key{.home = kSelf, .sequence = 12345};
-  const auto told = std::get<finish_call>(home_.Begin(Request(key), kStart));
-  EXPECT_EQ(told.result.why, reason::kBadKey);
+  const auto finish = std::get<finish_call>(home_.Begin(Request(key), kStart));
+  EXPECT_EQ(finish.result.why, reason::kBadKey);
 }
 
-// One caller fetches keys without end. Others must still get theirs.
-TEST_F(key_home_test, OneCallerCannotTakeAllKeys) {
+// One caller requests keys without limit. Other callers must still get theirs.
+TEST_F(key_home_test, OneCallerCannotExhaustTheKeys) {
   EXPECT_EQ(home_.Issue(1000, "10.0.0.1", kLifetime, kStart).keys.size(), 10U);
   const auto refused = home_.Issue(1, "10.0.0.1", kLifetime, kStart);
   EXPECT_TRUE(refused.keys.empty());
@@ -283,8 +287,8 @@
       1U);
 }
 
-// A gateway sends all its users' requests from one address. Keys that are done
-// with must not count against it.
+// A gateway sends the requests of all its users from one address. Settled keys
+// must not count against it.
 TEST_F(key_home_test, SettledKeysDoNotCountAgainstTheCaller) {
   for (int i = 0; i < 50; ++i) {
     const auto key = IssueOne();
@@ -309,7 +313,7 @@
       home_.Begin(Request(third), kStart)));
 }
 
-TEST_F(key_home_test, DroppedAnswerIsUnknown) {
+TEST_F(key_home_test, DiscardedAnswerIsUnknown) {
   std::vector<idempotency_key> keys;
   for (int i = 0; i < 3; ++i) {
     keys.push_back(IssueOne());
@@ -317,21 +321,21 @@
     home_.AttemptAnswered(keys.back(), 1, From(kFirst, Answer(40)), kStart);
   }
   EXPECT_LE(home_.answer_bytes(), 100U);
-  const auto told =
+  const auto finish =
       std::get<finish_call>(home_.Begin(Request(keys[0], 2), kStart));
-  EXPECT_EQ(told.result.why, reason::kAnswerDiscarded);
-  EXPECT_EQ(told.result.kind, outcome_kind::kUnknown);
+  EXPECT_EQ(finish.result.why, reason::kAnswerDiscarded);
+  EXPECT_EQ(finish.result.kind, outcome_kind::kUnknown);
 }
 
-// A caller goes away; nobody waits for the result any more.
-TEST_F(key_home_test, LastCallerLeavingCancels) {
+// All callers disconnect, so no one waits for the result.
+TEST_F(key_home_test, LastCallerDisconnectCancels) {
   const auto key = IssueOne();
   BeginAt(key);
   home_.Begin(Request(key, 2), kStart);
   EXPECT_TRUE(
-      std::holds_alternative<no_action>(home_.Leave(key, waiter_id{1})));
-  EXPECT_TRUE(
-      std::holds_alternative<send_cancel>(home_.Leave(key, waiter_id{2})));
+      std::holds_alternative<no_action>(home_.RemoveWaiter(key, waiter_id{1})));
+  EXPECT_TRUE(std::holds_alternative<send_cancel>(
+      home_.RemoveWaiter(key, waiter_id{2})));
   home_.CancelAnswered(key, 1, From(kFirst, NotExecuted(reason::kCancelled)),
                        kStart);
   const auto again =
@@ -339,8 +343,8 @@
   EXPECT_EQ(again.result.why, reason::kCancelled);
 }
 
-// A planned stop: keys that callers hold keep working, new ones are refused.
-TEST_F(key_home_test, DrainingHomeServesItsKeysToTheEnd) {
+// A planned stop: keys that were issued keep working, new ones are refused.
+TEST_F(key_home_test, DrainingHomeServesItsKeysUntilTheyExpire) {
   const auto key = IssueOne();
   const auto unused = IssueOne();
   home_.StartDraining();
@@ -353,12 +357,12 @@
   EXPECT_TRUE(home_.drained());
 }
 
-TEST_F(key_home_test, RetriesEndWithTheCredit) {
+TEST_F(key_home_test, RetriesStopWhenTheCreditIsSpent) {
   const auto key = IssueOne();
   BeginAt(key);
   std::uint32_t attempt = 1;
   home_action next;
-  // The executors hand back all the credit that they were lent.
+  // The executors return all the credit that they were lent.
   while (true) {
     next = home_.AttemptAnswered(
         key, attempt, From(kFirst, NotExecuted(reason::kOverload), 100),
--- a/tests/reserve_share_test.cc
+++ b/tests/reserve_share_test.cc
@@ -1,5 +1,5 @@
-// One daemon's part of the reserve for repeats, while the list of daemons grows
-// and shrinks.
+// One daemon's share of the repeat reserve, while the list of daemons grows and
+// shrinks.
 #include "include/retry/reserve_share.h"
 
 #include <gtest/gtest.h>
@@ -19,22 +19,22 @@
 
 TEST(ReserveShareTest, FollowsALongerListAtOnceAndAShorterOneAWindowLater) {
   reserve_share share(kWindow);
-  EXPECT_EQ(share.Part(kStart), 0);
-  share.NoteDaemons(4, kStart);
-  time_point now = kStart + reserve_share::kFirstListGrows;
-  EXPECT_EQ(share.Part(now), reserve_share::kUsed / 4);
-  share.NoteDaemons(16, now);
-  EXPECT_EQ(share.Part(now), reserve_share::kUsed / 16);
-  share.NoteDaemons(2, now);
-  EXPECT_EQ(share.Part(now + kWindow), reserve_share::kUsed / 16);
-  EXPECT_EQ(share.Part(now + kWindow + milliseconds(1)),
-            reserve_share::kUsed / 2);
+  EXPECT_EQ(share.Fraction(kStart), 0);
+  share.OnDaemonCount(4, kStart);
+  time_point now = kStart + reserve_share::kInitialSettleTime;
+  EXPECT_EQ(share.Fraction(now), reserve_share::kUsableFraction / 4);
+  share.OnDaemonCount(16, now);
+  EXPECT_EQ(share.Fraction(now), reserve_share::kUsableFraction / 16);
+  share.OnDaemonCount(2, now);
+  EXPECT_EQ(share.Fraction(now + kWindow), reserve_share::kUsableFraction / 16);
+  EXPECT_EQ(share.Fraction(now + kWindow + milliseconds(1)),
+            reserve_share::kUsableFraction / 2);
 }
 
-// All daemons start, and their targets register one after the other. Two
-// services then fail for everybody. Each daemon had taken its part by the one
-// or two daemons that it knew at first, and the failing services got eight
-// times the reserve on top of their load.
+// All daemons start, and their targets register one by one. Two services then
+// fail for all callers. Each daemon had derived its share from the one or two
+// daemons that it knew at first, and the failing services got eight times the
+// reserve on top of their load.
 TEST(ReserveShareTest, DaemonsThatRegisterOneByOneShareOneReserve) {
   constexpr std::size_t kDaemons = 16;
   std::vector<reserve_share> shares(kDaemons, reserve_share(kWindow));
@@ -45,10 +45,10 @@
     const time_point now = kStart + step * milliseconds(100);
     const std::size_t known = std::min<std::size_t>(kDaemons, 1 + step);
     for (std::size_t i = 0; i < known; ++i) {
-      shares[i].NoteDaemons(known, now);
+      shares[i].OnDaemonCount(known, now);
       budgets[i].Configure({.window = kWindow,
                             .ratio = 0,
-                            .reserve = kReserve * shares[i].Part(now)});
+                            .reserve = kReserve * shares[i].Fraction(now)});
       spent += budgets[i].TrySpend(now) ? 1 : 0;
     }
   }
@@ -56,8 +56,8 @@
   EXPECT_LE(spent, kReserve);
 }
 
-// Whatever lists come when: a daemon's part never exceeds what the longest list
-// of the window gives it.
+// For any sequence of lists, a daemon's share never exceeds the one given by
+// the longest list of the window.
 RC_GTEST_PROP(ReserveShareTest, TheLongestListOfTheWindowCounts, ()) {
   struct note {
     std::size_t daemons;
@@ -76,15 +76,15 @@
       notes.back().until = now;
     }
     notes.push_back({count, now, time_point::max()});
-    share.NoteDaemons(count, now);
+    share.OnDaemonCount(count, now);
     std::size_t longest = 0;
     for (const note& each : notes) {
       if (each.until >= now - kWindow) {
         longest = std::max(longest, each.daemons);
       }
     }
-    RC_ASSERT(share.Part(now) <=
-              reserve_share::kUsed / static_cast<double>(longest));
+    RC_ASSERT(share.Fraction(now) <=
+              reserve_share::kUsableFraction / static_cast<double>(longest));
   }
 }
 
--- a/tests/support/once_network.h
+++ b/tests/support/once_network.h
@@ -1,8 +1,8 @@
-// once_network: callers, relaying daemons, one home and three executors of the
-// real protocol classes, joined by a network that loses, doubles, delays and
-// reorders messages. A schedule of steps decides what happens next; after each
-// step the promises are checked from what the targets ran and what callers were
-// told.
+// once_network: simulates callers, relaying daemons, one home and three
+// executors of the real protocol classes, connected by a network that loses,
+// duplicates, delays and reorders messages. A schedule of steps determines what
+// happens; after each step the invariants are checked against what the targets
+// ran and which outcomes the callers received.
 #pragma once
 
 #include <array>
@@ -23,8 +23,8 @@
 
 enum class network_op : std::uint8_t {
   kNewRequest,
-  kSendAgain,
-  kWrongBody,
+  kResend,
+  kReuseKey,
   kRelayRefuses,
   kDeliver,
   kDeliverAndKeep,
@@ -35,29 +35,30 @@
   kCrashTarget,
   kLoseAttempt,
   kPassDeadline,
-  kLeave,
+  kDisconnectCaller,
   kAdvanceClock,
   kRestartExecutor,
   kRestartHome,
   kPause,
-  kCut,
+  kPartition,
   kCount,
 };
 
 struct network_step {
   network_op op = network_op::kDeliver;
-  std::uint32_t pick = 0;  // Which message, request or daemon it is about.
+  std::uint32_t pick = 0;  // Selects the message, request or daemon.
   std::uint32_t bits = 0;  // Further choices.
 };
 
-// Prints a step of a schedule that failed; the property library looks for this
+// Prints a step of a failed schedule; RapidCheck finds this function by its
 // name.
 inline void showValue(const network_step& step, std::ostream& out) {
   out << "{" << static_cast<int>(step.op) << ", " << step.pick << ", "
       << step.bits << "}";
 }
 
-// What a run got to, to show that the schedules reach what they are meant for.
+// Events that a run reached, to show that the schedules cover what they are
+// meant to test.
 struct network_coverage {
   std::uint64_t completed = 0;
   std::uint64_t not_executed = 0;
@@ -71,8 +72,8 @@
   std::uint64_t discarded = 0;
 };
 
-// `Guards` is once_guards, or has one taken out; besides those it has
-// kHomeHasLastWord, which is the relaying daemons'.
+// `Guards` is once_guards, or has one disabled; it also has kHomeHasLastWord,
+// the guard of the relaying daemons.
 template <typename Guards>
 class once_network {
  public:
@@ -85,9 +86,9 @@
 
   void Run(const network_step& step);
 
-  // The first promise that was broken, or nothing.
-  [[nodiscard]] const std::optional<std::string>& broken() const {
-    return broken_;
+  // The first violated invariant, if any.
+  [[nodiscard]] const std::optional<std::string>& violation() const {
+    return violation_;
   }
   [[nodiscard]] network_coverage coverage() const;
 
@@ -97,13 +98,13 @@
   static constexpr std::size_t kMaxRequests = 1000;
   static constexpr milliseconds kLifetime{20000};
 
-  // One thing that a caller wants done, under one key.
+  // A request of a caller, under one key.
   struct request {
     idempotency_key key;
     std::string body;
     std::uint32_t ran = 0;
-    bool told_completed = false;
-    bool told_not_executed = false;
+    bool reported_completed = false;
+    bool reported_not_executed = false;
   };
 
   struct caller_message {
@@ -139,13 +140,14 @@
     std::vector<admitted_attempt> queue;
     std::vector<admitted_attempt> running;
     bool paused = false;
-    bool cut = false;  // From the home.
-    // What the home believes of it.
-    incarnation_id seen_self{};
-    epoch_id seen_epoch{};
+    bool partitioned = false;  // Partitioned from the home.
+    // The state of the executor as last received by the home.
+    incarnation_id known_incarnation{};
+    epoch_id known_epoch{};
   };
 
-  // Mostly the present; sometimes the past, read by a thread that was held up.
+  // Mostly the current time; sometimes an earlier one, as read by a thread that
+  // was preempted.
   [[nodiscard]] time_point Now(std::uint32_t bits) const {
     return bits % 8 == 0 ? now_ - seconds(bits % 30) : now_;
   }
@@ -154,14 +156,14 @@
   void StartExecutor(std::size_t index);
   void NewRequest(std::uint32_t bits);
   void SendCopy(const network_step& step, bool refused);
-  void SendWrongBody(const network_step& step);
+  void ReuseKey(const network_step& step);
   void RelayRefuses(const network_step& step);
   void Deliver(const network_step& step, bool keep);
-  [[nodiscard]] bool IsHeldUp(const message& sent) const;
-  void Receive(const caller_message& got, std::uint32_t bits);
-  void Receive(const attempt_message& got, std::uint32_t bits);
-  void Receive(const cancel_message& got, std::uint32_t bits);
-  void Receive(const answer_message& got, std::uint32_t bits);
+  [[nodiscard]] bool IsBlocked(const message& sent) const;
+  void Receive(const caller_message& received, std::uint32_t bits);
+  void Receive(const attempt_message& received, std::uint32_t bits);
+  void Receive(const cancel_message& received, std::uint32_t bits);
+  void Receive(const answer_message& received, std::uint32_t bits);
   void Answer(const attempt_message& to, const outcome& result);
   void FinishAdmitted(std::size_t index,
                       const admitted_attempt& attempt,
@@ -170,12 +172,12 @@
   void RefuseQueued(const network_step& step);
   void FinishRunning(const network_step& step, bool crash);
   void ChooseKeyEvent(const network_step& step);
-  void LeaveOne(const idempotency_key& key);
-  void Act(const home_action& action, std::uint32_t bits);
+  void DisconnectCaller(const idempotency_key& key);
+  void Execute(const home_action& action, std::uint32_t bits);
   void Place(const place_attempt& place, std::uint32_t bits);
   void Send(const send_attempt& send);
-  void Tell(const finish_call& finish);
-  void TellRequest(std::size_t index, const outcome& result);
+  void FinishCall(const finish_call& finish);
+  void ReportOutcome(std::size_t index, const outcome& result);
   void Check(std::size_t index);
   std::size_t IndexOf(const vm_id& vm) const {
     return static_cast<std::size_t>(vm.back() - '0');
@@ -188,13 +190,13 @@
   std::array<executor, kExecutors> executors_;
   std::vector<request> requests_;
   std::vector<message> network_;
-  // Callers that the present home or an executor has waiting.
+  // Callers that wait at the current home or at an executor.
   std::map<std::uint64_t, std::size_t> waiting_requests_;
   std::map<std::uint64_t, attempt_message> waiting_attempts_;
-  // The request that the home began for a key, and its attempt.
+  // The request that the home began for a key, and its current attempt.
   std::map<idempotency_key, std::size_t> begun_;
   std::map<idempotency_key, std::uint32_t> attempts_;
-  std::optional<std::string> broken_;
+  std::optional<std::string> violation_;
   network_coverage coverage_;
 };
 
